--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -1,14 +1,15 @@
-"""The decisions of a mothgap gateway. The events, actions and settings are in `mothgap/interface.py`.
+"""The decision module of a mothgap gateway. Its events, actions and settings are in `mothgap/interface.py`.
 
-A request's way, in the order of this file:
+The stages of a request, in the order of this file:
 
 meter   `_on_request` adds its units to the customer's count on the counter service and waits for the total;
-        `_on_counted` lets it go on while the total stays within the allowance, else adds the units back and
-        refuses at once. `_veto` holds ceilings with this gateway's own share, whatever the counter says.
-choose  `_choose` takes the server with the least expected wait among those that may be sent to.
-send    `_send` starts an attempt, with a time-out that leaves room for another one where a repeat is allowed.
-outcome `_on_outcome` learns from how it ended, and sends again where the class and the retry budget allow.
-answer  `_end` gives the one final answer, as a refusal only where that is known to be harmless.
+        `_on_counted` sends it on while the total stays within the quota, otherwise refunds the units and
+        refuses it at once. `_within_ceiling` enforces ceilings by this gateway's own share, whatever the
+        counter says.
+choose  `_choose_server` takes the server with the least expected wait among those that may be sent to.
+send    `_send_to` starts an attempt; its timeout leaves time for another one where a repeat is allowed.
+outcome `_on_outcome` updates statistics, and retries where the class and the retry budget allow it.
+answer  `_finish` sends the one final answer, as a refusal only where that is known to be harmless.
 """
 
 from __future__ import annotations
@@ -58,120 +59,205 @@
 )
 from mothgap.lending import LIFE, Ask, Give, Questions, held_back, in_set, read, write
 from mothgap.names import NAME_LIFE, SECOND, count_name, window
-from mothgap.state import MEAN_SPAN, PACE_SMOOTH, AttemptLimit, Customer, OpenRequest, Server, ServerKind
-
-METER_PATIENCE = 0.1  # of the class's aim; how long a request waits for its total
-BREAKER_TRIP = 3  # counter calls failed in a row before requests stop waiting for it: one or two are chance
-TRIAL_EVERY = 4  # counter time-outs between trial calls while the breaker is open: light work for it
-CALL_CUT = 0.7  # what is left of the share of requests that call, after a call that found the counter crowded
-CALL_RAISE = 0.02  # how much that share grows with a prompt answer; with the cut, one call in ten is late
-CALL_SLOW = 0.5  # of the counter's time limit; after slower answers the share of calls does not grow
-TRY_MATCH = 0.01  # of a class's deadline; how near to the usual patience a first try's time left is
-FIRSTS = 16  # first tries whose time left is known: some clients may be far less patient than most
-CALL_LEAST = 0.1  # of the requests that call at the least, so that a counter with room again is noticed soon
-CALL_HALF = 0.5  # of the burst taken; there a customer gets that share, with the square of it below and above
-SHORT_WINDOWS = 2.0  # windows after a want of room in which cheaper classes leave some for dearer ones
-SHORT_KEEP = 0.5  # of the largest request; what every class leaves free then
-LOOK_WINDOWS = 8.0  # windows after which what totals said of a customer has faded: long spells last longer
-HOT_CALLS = 2.0  # calls for a customer beyond its quota, for each that is likely to find room
-SMOOTH = 0.2  # share of a new reading in a running mean: about the last ten readings count
-ERROR_LIMIT = 0.3  # share of errors at which a server is set aside; healthy ones are far below
-ASIDE_MOST = 0.5  # part of the servers that may be set aside: if more look bad, suspect something shared
-ASIDE_CALLS = 6.0  # mean service times that a server set aside waits before one request tries it
-SILENCE = 5.0  # times the usual answer time without any answer before a server counts as silent
-ERROR_WEIGHT = 4.0  # how much a server's error share adds to its expected wait: an error costs a request
-AVOID = 10.0  # times the expected wait at the server that the last attempt failed at: only if all are as slow
-RETRY_SHARE = 0.15  # further attempts for each request, in the long run: they must not double an overload
-RETRY_SAVED = 10.0  # further attempts saved up at most: one bad server's share of a burst
-FIRST_SPLIT = 0.5  # of the time to the aim; what the first of two possible attempts gets
-LATE_PART = 0.3  # of the aim; half of the answers slower than this say that a server holds too much
-RESERVE = 0.5  # of the room saved up; what is left for others by those who are refused first
-LIMIT_START = 4.0  # attempts out at a server at first, by all gateways: a few for each core
-LIMIT_RAISE = 1.0  # attempts more, by all gateways, after as many timely answers as a server may hold
-LIMIT_CUT = 0.6  # what is left of a server's limit after an answer that came too late
-KEPT = 0.3  # of all limits, what is left for others by those who are refused first
-GHOST_AIMS = 2.0  # aims after which a server that never answered is taken to have dropped an attempt given up
-WATCH_AGAIN = 10  # the part of the asking span after which a failed call to the list is made again
-ASK_MOST = 4  # gateways asked for a part of the ceiling by one request: each keeps it waiting a little more
-ASK_FIRST = 2  # of them, at once: one may be lost, or have nothing
-ASK_LOW = 1.0  # largest requests; a part of the ceiling that is smaller is added to before it is wanted
-GIVE_BUSY = SECOND  # microseconds since the customer was here in which half of its part is kept for it
-WAIT_OVER = -1  # in place of an attempt: the timer of a request that waits for a part of the ceiling
-WATCH_TOKEN = 0  # the timer of that; the timers of requests count from 1
-COLD_MARGIN = 0.4  # of the allowed sends to a cold server; the rest is for chance and what others do unevenly
-SAMPLE = 8  # servers that a gateway of a large fleet keeps to; a choice costs the same in any fleet
-MANY = 64  # servers; a choice among more looks at some drawn by chance, and sums over all are kept a while
-LOOK = 24  # servers drawn: the best of two is most of what the best of all gains, and many may be unfit
-SUMS_KEPT = 20_000  # microseconds; short against any answer
-STALE = SECOND  # microseconds after which what a server last showed of its load says little
-LOAD_FIELDS = ("inflight", "util", "qps")  # fields of load reports that tell of load
-FAR = 1.3  # times the expected wait at a server of another zone: the way there costs, and is longer
-NEW_PRICED = 400.0  # times the price of a handshake; so much more a server counts where one has to be made:
-NEW_MOST = 30.0  # times the expected wait, which is only if no other server will do
-KEPT_FOR = 5 * SECOND  # microseconds after an answer in which its connection is taken to be there still
-NEAR_ALIKE = 1.05 - 0.95  # waits this near to each other are alike: chance decides
-PACE_TRUST = 10.0  # own answers of a server at which its pace counts as much as the pace of its kind
+from mothgap.state import (
+    AVERAGING_TIME,
+    SLOW_SMOOTHING,
+    AttemptLimit,
+    Customer,
+    OpenRequest,
+    Server,
+    ServerKind,
+)
+
+# How long a request waits for its total, as a share of the class's aim.
+TOTAL_WAIT_SHARE = 0.1
+# Consecutive failed counter calls after which requests stop waiting for it; one or two occur at random.
+BREAKER_THRESHOLD = 3
+# Interval between trial calls while the breaker is open, in time limits of the counter: a light load for it.
+BREAKER_TRIAL_INTERVAL = 4
+# Factor on the share of requests that call the counter, after a call that found it overloaded.
+CALL_SHARE_DECREASE = 0.7
+# Increase of that share with each prompt answer; with the factor above, one call in ten is late.
+CALL_SHARE_INCREASE = 0.02
+# Share of the counter's time limit; slower answers do not increase the share of calls.
+PROMPT_CALL_SHARE = 0.5
+# Share of a class's deadline by which a first try's time left may differ from the usual one.
+TIME_LEFT_TOLERANCE = 0.01
+# First tries whose time left is remembered, by class: some clients may be far less patient than most.
+FIRST_TRY_SAMPLES = 16
+# Minimum share of requests that call the counter, so that spare capacity is noticed soon.
+MIN_CALL_SHARE = 0.1
+# Use of the burst at which a customer gets exactly that share; below and above, it is scaled with the square.
+CALL_REFERENCE_USE = 0.5
+# Windows after a lack of room in which classes of less worth leave some room for classes of more worth.
+SHORTAGE_WINDOWS = 2.0
+# Room that every class leaves free then, as a share of the largest request.
+SHORTAGE_RESERVE = 0.5
+# Windows after which what totals showed of a customer has faded: long periods over the quota last longer.
+DECISION_FADE_WINDOWS = 8.0
+# Counter calls for a customer over its quota, for each that is likely to find room.
+OVER_QUOTA_CALL_FACTOR = 2.0
+
+# Weight of a new sample in a moving average: about the last ten samples count.
+SMOOTHING = 0.2
+
+# Error rate above which a server is ejected; healthy servers are far below.
+EJECT_ERROR_RATE = 0.3
+# Maximum share of the servers that may be ejected: if more look bad, the cause is probably shared.
+MAX_EJECTED_SHARE = 0.5
+# Mean answer times that an ejected server waits before one request tries it.
+EJECTION_ANSWER_TIMES = 6.0
+# Usual answer times without any answer after which a server counts as silent.
+SILENCE_ANSWER_TIMES = 5.0
+# Weight of a server's error rate in its expected wait: an error costs a request.
+ERROR_WEIGHT = 4.0
+# Factor on the expected wait at the server where the last attempt failed: used only if all are as slow.
+SAME_SERVER_PENALTY = 10.0
+
+# Retry budget: further attempts per request in the long run; they must not double an overload.
+RETRY_SHARE = 0.15
+# Further attempts that may be saved up: one bad server's share of a burst.
+MAX_RETRY_TOKENS = 10.0
+# Share of the time to the aim that the first of two possible attempts gets.
+FIRST_ATTEMPT_SHARE = 0.5
+
+# Share of the aim; a server holds too much if half of its answers are slower than this.
+LATE_ANSWER_SHARE = 0.3
+# Share of the maximum credit that requests with the highest refusal priority leave to others.
+CREDIT_RESERVE = 0.5
+# Initial limit of attempts in flight at a server, for all gateways together: a few for each core.
+INITIAL_LIMIT = 4.0
+# Increase of the limit, for all gateways together, after as many timely answers as the limit allows attempts.
+LIMIT_INCREASE = 1.0
+# Factor on a server's limit after an answer that came too late.
+LIMIT_DECREASE = 0.6
+# Share of all limits that requests with the highest refusal priority leave to others.
+LIMIT_RESERVE = 0.3
+# Aims after which a server that never answered is assumed to have dropped an abandoned attempt.
+ABANDONED_EXPIRY_AIMS = 2.0
+
+# A failed call to the list service is repeated after one to two such fractions of `Safety.ask_within`.
+LIST_RETRY_DIVISOR = 10
+
+# Maximum gateways that one request asks for ceiling units: each prolongs its wait a little.
+MAX_PEERS_ASKED = 4
+# Gateways of these that are asked at once: one message may be lost, or one gateway may have nothing to lend.
+INITIAL_PEERS_ASKED = 2
+# In units of the largest request; a share of a ceiling with less left is refilled before it is needed.
+LOW_CEILING_UNITS = 1.0
+# Microseconds after a customer's last request here during which half of its ceiling units are kept for it.
+BUSY_CUSTOMER_TIME = SECOND
+# Stands in place of an attempt for the timer of a request that waits for ceiling units.
+CEILING_WAIT_TIMER = -1
+# The timer that calls the list service again; the timers of requests count from 1.
+WATCH_TOKEN = 0
+
+# Share of the allowed sends to a cold server; the rest covers random variation and uneven sends by others.
+COLD_MARGIN = 0.4
+
+# Servers that a gateway of a large fleet sends to; a choice then costs the same in a fleet of any size.
+SUBSET_SIZE = 8
+# Above this number of servers a choice draws some at random, and sums over all servers are cached.
+MANY = 64
+# Servers drawn: the best of two gives most of what the best of all would give, and many may be unsuitable.
+LOOK = 24
+# Microseconds for which results over all servers are cached; short compared with any answer time.
+CACHE_TIME = 20_000
+# Microseconds after which the load that a server last reported says little.
+LOAD_STALE_TIME = SECOND
+# Fields of load reports that describe load.
+LOAD_FIELDS = ("inflight", "util", "qps")
+
+# Factor on the expected wait at a server of another zone: the network path costs something and is longer.
+OTHER_ZONE_FACTOR = 1.3
+# Increase of the factor on the expected wait where a connection has to be opened, per price of a handshake.
+HANDSHAKE_PRICE_FACTOR = 400.0
+# Maximum of that factor, at which the server is used only if no other one is suitable.
+MAX_HANDSHAKE_PENALTY = 30.0
+# Microseconds after an answer during which its connection is assumed to be open still.
+IDLE_CONNECTION_TIME = 5 * SECOND
+# Relative range within which expected waits count as equal and are decided at random.
+TIE_RANGE = 1.05 - 0.95
+# Answers of a server at which its own latency weighs as much as the latency of its kind.
+LATENCY_PRIOR_SAMPLES = 10.0
 
 
 class Gateway:
-    """One gateway's decisions: a pure function of its settings, its seed and the events it is given."""
+    """One gateway's decisions: a deterministic function of its settings, its seed and its events."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        self._s = settings
-        self._random = random.Random(seed)
-        self._now, self._shift = now, 0  # the shift is of the shared clock, which names windows
-        self._out: list[Action] = []
-        self._about: int | None = None  # the open request that the event in hand is about
+        self._settings = settings
+        self._rng = random.Random(seed)
+        self._now, self._clock_shift = now, 0  # offset of the shared clock, which names windows
+        self._actions: list[Action] = []
+        self._current_request: int | None = None  # the open request that the current event concerns
         self._servers: dict[str, Server] = {}
         self._ready: list[Server] = []
-        self._near: list[Server] = []  # of these, the ones that this gateway sends to
-        self._zones: dict[int, float] = {}  # zones that the fleet uses in part
+        self._subset: list[Server] = []  # the ready servers that this gateway sends to
+        self._zone_parts: dict[int, float] = {}  # by zone: the part in use, for zones in partial use
         self._kinds: dict[int, ServerKind] = {}
-        self._warm_of: dict[int, int] = {}  # warm servers by kind, counted at `_warm_at`
-        self._warm_at = now - NAME_LIFE
-        self._pooled: AttemptLimit | None = None  # one limit for all servers, in fleets of more than a few
-        self._seldom = False  # more gateways than servers: most customers are met less than once in a window
-        self._live, self._credit, self._credit_at = 0, 0.0, now  # attempts out; attempt-microseconds saved up
-        self._mean_value = 1e-9  # running mean of worth for the work
-        self._mean_answer = 0.0  # running mean answer time, of all classes
-        self._mean_load = 0.0  # running mean of reported loads
+        self._warm_counts: dict[int, int] = {}  # warm servers by kind, counted at `_warm_counted_at`
+        self._warm_counted_at = now - NAME_LIFE
+        # One limit for all servers, in fleets of more than a few gateways.
+        self._shared_limit: AttemptLimit | None = None
+        # More gateways than servers: most customers send less than one request per window here.
+        self._sparse_customers = False
+        # Attempts in flight; credit saved up, in attempt-microseconds, and when it was brought up to date.
+        self._in_flight, self._credit, self._credit_updated_at = 0, 0.0, now
+        self._mean_value = 1e-9  # moving average of worth per work
+        self._mean_latency = 0.0  # moving average of answer times, over all classes
+        self._mean_load = 0.0  # moving average of reported loads
         self._customers: OrderedDict[int, Customer] = OrderedDict()
         self._jobs: dict[int, OpenRequest] = {}
-        self._asked: dict[int, list[int | None]] = {}  # count name: requests of its open calls
-        self._amounts: dict[int, list[tuple[Customer, float]]] = {}
-        self._usual = [0.0 for _ in settings.classes]  # running mean answer time by class
-        # Counter calls failed in a row, each sent after the one before had; when the last one did.
-        self._failed, self._failed_at = 0, now - NAME_LIFE
-        self._trial_at = now  # when to try next
-        self._patience = [(0, 0) for _ in settings.classes]  # usual time left of a try, and votes for it
-        self._firsts: dict[int, deque[int]] = {}  # by class: the time left of first tries, where clients tell
-        self._over = [0.0 for _ in settings.plans]  # part of the decisions by total that were refusals
-        self._calling, self._calling_cut = 1.0, now  # share of the requests that call; when it was last cut
-        self._retries = RETRY_SAVED
-        self._dearest = max(cls.worth for cls in settings.classes)
-        self._longest = max(cls.aim for cls in settings.classes)
-        self._credit = float(self._longest)
-        self._part, self._filled, self._filled_at = 1.0, 0.0, now  # of ceilings; microseconds at a whole part
-        self._emptied, self._emptied_at = 0.0, now - NAME_LIFE  # on `_filled`, when all was handed back
-        self._sums, self._sums_at = (0.0, 0.0), now - SUMS_KEPT  # held and limits of all servers, and when
-        self._aside: dict[str, None] = {}  # what `_shunned` said last
-        self._aside_at = now - SUMS_KEPT
+        self._open_calls: dict[int, list[int | None]] = {}  # count name: requests of its open calls
+        self._call_amounts: dict[int, list[tuple[Customer, float]]] = {}
+        self._class_latency = [0.0 for _ in settings.classes]  # moving average of answer times by class
+        # Consecutive failed counter calls, each sent after the one before had failed; the time of the last
+        # failure.
+        self._counter_failures, self._counter_failed_at = 0, now - NAME_LIFE
+        self._counter_trial_at = now  # time of the next trial call
+        # By class: usual time left of a try, and votes for it.
+        self._usual_time_left = [(0, 0) for _ in settings.classes]
+        # By class: time left of first tries, where clients mark retries.
+        self._first_tries: dict[int, deque[int]] = {}
+        # By plan: share of the decisions by total that were refusals.
+        self._plan_refusal_rate = [0.0 for _ in settings.plans]
+        # Share of the requests that call the counter; when it was last lowered.
+        self._call_share, self._call_share_cut_at = 1.0, now
+        self._retry_tokens = MAX_RETRY_TOKENS
+        self._max_worth = max(cls.worth for cls in settings.classes)
+        self._max_aim = max(cls.aim for cls in settings.classes)
+        self._credit = float(self._max_aim)
+        # The part of its share of ceilings that this gateway holds; the refill so far, in microseconds at a
+        # whole part.
+        self._ceiling_part, self._ceiling_refilled, self._ceiling_refilled_at = 1.0, 0.0, now
+        # Value of `_ceiling_refilled`, and the time, when all was handed back.
+        self._handed_back_mark, self._handed_back_at = 0.0, now - NAME_LIFE
+        # Occupied attempts and limits of all servers, and when they were summed.
+        self._room_sums, self._room_sums_at = (0.0, 0.0), now - CACHE_TIME
+        self._ejected: dict[str, None] = {}  # last result of `_ejected_servers`
+        self._ejected_at = now - CACHE_TIME
         self._stopping: Stopping | None = None
-        self._had_counter = settings.counter is not None  # one that goes still takes back what it was given
-        self._questions = Questions(settings.index, self._random)
-        self._tokens: dict[int, tuple[int, int | None]] = {}  # timers: request, and attempt; None: its total
-        self._token = 0
+        # A counter that a reload removes still takes units back.
+        self._had_counter = settings.counter is not None
+        self._questions = Questions(settings.index, self._rng)
+        # By token: request, and attempt; None: its total.
+        self._timers: dict[int, tuple[int, int | None]] = {}
+        self._last_timer_token = 0
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event; return what to do, in order. An EventError has what was decided before a fault."""
+        """Handle one event; return the actions, in order.
+
+        Raises EventError where a decision fails; it holds the actions that were decided before.
+        """
         self._now = now
-        self._out = []
-        self._about = None
+        self._actions = []
+        self._current_request = None
         try:
             self._dispatch(event)
-        except Exception as fault:
-            raise EventError(type(event).__name__, self._about, self._out) from fault
-        return self._out
+        except Exception as error:
+            raise EventError(type(event).__name__, self._current_request, self._actions) from error
+        return self._actions
 
     def _dispatch(self, event: Event) -> None:
         match event:
@@ -182,7 +268,7 @@
             case Counted():
                 self._on_counted(event)
             case CountedLate():
-                self._on_late(event)
+                self._on_counted_late(event)
             case Timer():
                 self._on_timer(event)
             case Members():
@@ -193,446 +279,522 @@
                 if (job := self._jobs.get(event.request)) is not None:
                     job.unsure = event.unsure
             case PeerMessage():
-                self._on_peer(event)
+                self._on_peer_message(event)
             case ClockShift():
-                self._shift = event.offset
+                self._clock_shift = event.offset
                 for server in self._servers.values():
-                    server.told_by(self._now, self._shift)
+                    server.update_clock_shift(self._now, self._clock_shift)
             case Share():
                 self._on_share(event.part)
             case ZoneParts():
                 for server in self._servers.values():
-                    if server.line.zone in self._zones:  # whether it is well again is to be seen
-                        server.aside, server.errors = False, 0.0
-                self._zones = dict(event.parts)
-                self._list()
+                    if server.member.zone in self._zone_parts:  # whether it has recovered is unknown
+                        server.ejected, server.error_rate = False, 0.0
+                self._zone_parts = dict(event.parts)
+                self._update_ready()
             case NewSettings():
                 self._on_settings(event.settings)
             case Stopping():
                 self._on_stopping(event)
 
     def _on_settings(self, settings: Settings) -> None:
-        """Other figures from now on. What is open keeps its class; customers keep what they have taken."""
+        """Apply new settings. Open requests keep their class; customers keep what they have taken."""
         classes, plans = len(settings.classes), len(settings.plans)
-        self._usual += [0.0] * (classes - len(self._usual))
-        self._patience += [(0, 0)] * (classes - len(self._patience))
-        self._over += [0.0] * (plans - len(self._over))
-        # Limits of servers are this gateway's part of what all gateways hold there.
+        self._class_latency += [0.0] * (classes - len(self._class_latency))
+        self._usual_time_left += [(0, 0)] * (classes - len(self._usual_time_left))
+        self._plan_refusal_rate += [0.0] * (plans - len(self._plan_refusal_rate))
+        # A server's limit is this gateway's part of the limit for all gateways.
         for limit in {id(server.limit): server.limit for server in self._servers.values()}.values():
-            limit.most *= self._s.fleet_size / settings.fleet_size
-        self._s = settings
+            limit.max_in_flight *= self._settings.fleet_size / settings.fleet_size
+        self._settings = settings
         self._had_counter |= settings.counter is not None
-        self._dearest = max(cls.worth for cls in settings.classes)
-        self._longest = max(cls.aim for cls in settings.classes)
+        self._max_worth = max(cls.worth for cls in settings.classes)
+        self._max_aim = max(cls.aim for cls in settings.classes)
 
     # --- shutdown ---------------------------------------------------------------------------------------
 
     def _on_stopping(self, event: Stopping) -> None:
-        """Guards the final answers of a gateway that ends: no deadline outlives it, nor a late request."""
-        if (before := self._stopping) is not None:
-            refuse_from, until = min(event.refuse_from, before.refuse_from), min(event.until, before.until)
+        """Shut down: cap all deadlines, so that no request outlives the gateway; refuse late requests."""
+        if (previous := self._stopping) is not None:
+            refuse_from, until = (
+                min(event.refuse_from, previous.refuse_from),
+                min(event.until, previous.until),
+            )
             event = Stopping(refuse_from, until)
         self._stopping = event
         for job in self._jobs.values():
-            job.end_by(event.until)
+            job.cap_deadline(event.until)
 
     # --- meter ------------------------------------------------------------------------------------------
 
     def _on_request(self, request: Request) -> None:
-        self._about = request.id
-        plan, cls = self._s.plans[request.plan], self._s.classes[request.cls]
-        customer = self._customer(request.customer, plan, request.entry_points)
+        self._current_request = request.id
+        plan, cls = self._settings.plans[request.plan], self._settings.classes[request.cls]
+        customer = self._get_customer(request.customer, plan, request.entry_points)
         job = self._jobs[request.id] = OpenRequest(request, cls, customer, self._now)
-        job.aim_at -= self._spent(request, cls)
-        job.added = request.units if request.counted else 0.0  # given back where it is not sent on
-        customer.here_at = self._now
+        job.aim_at -= self._time_spent(request, cls)
+        job.counted_units = request.units if request.counted else 0.0  # refunded if it is not sent on
+        customer.last_request_at = self._now
         if self._stopping is not None:
-            job.end_by(self._stopping.until)
+            job.cap_deadline(self._stopping.until)
             if self._now >= self._stopping.refuse_from:
                 self._end(job, Cause.STOPPING)
                 return
-        self._retries = min(RETRY_SAVED, self._retries + RETRY_SHARE)
-        doubt = (customer.over + self._over[request.plan]) / (customer.looks + 1.0)
+        self._retry_tokens = min(MAX_RETRY_TOKENS, self._retry_tokens + RETRY_SHARE)
+        refusal_rate = (customer.recent_refusals + self._plan_refusal_rate[request.plan]) / (
+            customer.recent_decisions + 1.0
+        )
         # Letting a request through uncounted earns its worth, or costs what going beyond the quota costs.
-        hot = doubt * (1.0 + plan.beyond_cost - plan.beyond_worth) >= 1.0
-        hopeless = min(self._patience_of(job), job.aim_at - self._now) <= self._s.tick
-        if hopeless:
-            self._end(job, Cause.NO_TIME)  # also what comes with no time left for a call and an answer
-        elif not self._may_pass(job, plan) and not self._may_borrow(job, plan):
+        likely_over_quota = refusal_rate * (1.0 + plan.beyond_cost - plan.beyond_worth) >= 1.0
+        too_late = min(self._max_wait_for_total(job), job.aim_at - self._now) <= self._settings.tick
+        if too_late:
+            self._end(job, Cause.NO_TIME)  # also where too little time is left for a call and an answer
+        elif not self._within_ceiling(job, plan) and not self._can_borrow(job, plan):
             self._end(job, Cause.CEILING)
-        elif not self._room(self._rank(job, plan, hot)):
+        elif not self._has_room(self._refusal_priority(job, plan, likely_over_quota)):
             self._end(job, Cause.ROOM)
         elif request.counted and request.sent:
-            self._borrow(job, plan)
-            self._pass(job, plan)
-        elif not request.counted and plan.rate > 0 and self._s.counter and self._no_room(job, plan):
-            # Known to have no room: its add would only be taken back, and repeats would swamp the counter.
+            self._borrow_if_short(job, plan)
+            self._on_quota_granted(job, plan)
+        elif (
+            not request.counted
+            and plan.rate > 0
+            and self._settings.counter
+            and self._known_over_quota(job, plan)
+        ):
+            # Known to have no room: its units would only be refunded, and retries would overload the counter.
             self._end(job, Cause.QUOTA)
         else:
-            self._meter(job, plan, hot, doubt)
+            self._check_quota(job, plan, likely_over_quota, refusal_rate)
 
-    def _meter(self, job: OpenRequest, plan: Plan, hot: bool, doubt: float) -> None:
-        """Ask for the total, or decide without it."""
+    def _check_quota(
+        self, job: OpenRequest, plan: Plan, likely_over_quota: bool, refusal_rate: float
+    ) -> None:
+        """Call the counter for the total, or decide without it."""
         request, customer = job.request, job.customer
         if plan.rate <= 0:
-            self._borrow(job, plan)
-            self._pass(job, plan)
-        elif self._s.counter is None:
-            self._decide_alone(job, plan)
-        elif self._failed >= BREAKER_TRIP:
-            if self._now >= self._trial_at:
-                self._trial_at = self._now + TRIAL_EVERY * self._s.counter.time_limit
-                job.added = request.units
-                self._count(job, plan, None, 0.0 if request.counted else job.added)
-            self._decide_alone(job, plan)
+            self._borrow_if_short(job, plan)
+            self._on_quota_granted(job, plan)
+        elif self._settings.counter is None:
+            self._decide_locally(job, plan)
+        elif self._counter_failures >= BREAKER_THRESHOLD:
+            if self._now >= self._counter_trial_at:
+                self._counter_trial_at = (
+                    self._now + BREAKER_TRIAL_INTERVAL * self._settings.counter.time_limit
+                )
+                job.counted_units = request.units
+                self._count(job, plan, None, 0.0 if request.counted else job.counted_units)
+            self._decide_locally(job, plan)
         else:
-            share = self._calling
-            if hot and share < 1.0:
-                share *= min(1.0, HOT_CALLS * (1.0 - doubt))
-            elif share < 1.0 and not self._seldom:
-                # The nearer to the burst, the more a total tells; what is far from it is owed meanwhile.
-                share *= ((customer.debt + request.units) / plan.burst / CALL_HALF) ** 2
-            if self._random.random() < share:
-                # In a large fleet a customer may not come here again: this stands for those that pass.
-                # What a lost gateway has added is only looked at: nobody may have seen its total.
-                adds = request.units if hot or not self._seldom else request.units / share
-                job.added = job.added or adds
-                self._count(job, plan, request.id, 0.0 if request.counted else adds)
-                self._borrow(job, plan)
-                patience = self._patience_of(job)
-                if self._s.counter.time_limit > patience:
-                    self._set_timer(patience, request.id, None)
-            elif hot:
+            share = self._call_share
+            if likely_over_quota and share < 1.0:
+                share *= min(1.0, OVER_QUOTA_CALL_FACTOR * (1.0 - refusal_rate))
+            elif share < 1.0 and not self._sparse_customers:
+                # A total tells more the nearer the customer is to its burst; units far from it are added to
+                # the count later.
+                share *= ((customer.debt + request.units) / plan.burst / CALL_REFERENCE_USE) ** 2
+            if self._rng.random() < share:
+                # In a large fleet the customer may not come here again: this call also counts for requests
+                # that pass without one. For a request that a lost gateway has counted, the total is only
+                # read: nobody may have seen it.
+                amount = (
+                    request.units
+                    if likely_over_quota or not self._sparse_customers
+                    else request.units / share
+                )
+                job.counted_units = job.counted_units or amount
+                self._count(job, plan, request.id, 0.0 if request.counted else amount)
+                self._borrow_if_short(job, plan)
+                max_wait = self._max_wait_for_total(job)
+                if self._settings.counter.time_limit > max_wait:
+                    self._set_timer(max_wait, request.id, None)
+            elif likely_over_quota:
                 self._end(job, Cause.QUOTA)
             else:
-                self._decide_alone(job, plan)
+                self._decide_locally(job, plan)
 
     @staticmethod
-    def _patience_of(job: OpenRequest) -> int:
+    def _max_wait_for_total(job: OpenRequest) -> int:
         """How long a request may wait for its total."""
-        return min(int(job.cls.aim * METER_PATIENCE), job.request.time_left // 2)
+        return min(int(job.cls.aim * TOTAL_WAIT_SHARE), job.request.time_left // 2)
+
+    def _known_over_quota(self, job: OpenRequest, plan: Plan) -> bool:
+        """Whether it is known before any call that the quota has no room.
 
-    def _no_room(self, job: OpenRequest, plan: Plan) -> bool:
-        """Known before any call. What may just fit is for a total to say, as long as the counter keeps up."""
-        if self._calling >= 1.0:
+        Where the units may just fit, the total decides, as long as the counter keeps up.
+        """
+        if self._call_share >= 1.0:
             return job.customer.debt + job.request.units > plan.burst
-        return not self._within(job, plan, job.request.units, job.customer.guess)
+        return not self._fits_quota(job, plan, job.request.units, job.customer.estimated_other_units)
 
-    def _within(self, job: OpenRequest, plan: Plan, units: float, sure: float = 0.0) -> bool:
-        """There is room for the units, and for some more where the customer went short of late.
+    def _fits_quota(self, job: OpenRequest, plan: Plan, units: float, uncertain: float = 0.0) -> bool:
+        """Whether the quota has room for the units, and for a reserve if the customer lately ran out of it.
 
-        For adds that no total holds yet, as going beyond costs more than waiting; and for dearer requests.
-        Guards against a quota that goes at its edge to whatever is small enough: what needs more room at once
-        would never find it. Harms the cheaper class of a customer that asks for more than its quota.
+        The reserve is for increments that no total holds yet, as going beyond the quota costs more than
+        waiting, and for requests of more worth. It prevents a quota at its limit from going to whatever is
+        small enough: requests that need more room at once would never find it. The price: the class of less
+        worth gets less where a customer asks for more than its quota.
         """
         customer = job.customer
         if plan.rate <= 0:
             return True
-        short = self._now - customer.short_at < SHORT_WINDOWS * plan.burst / plan.rate * SECOND
-        keep = (SHORT_KEEP + 1.0 - job.cls.worth / self._dearest) * self._s.units_top if short else 0.0
-        fits = customer.fits(units, job.request.entry_points, keep, sure)
+        shortage = self._now - customer.last_no_room_at < SHORTAGE_WINDOWS * plan.burst / plan.rate * SECOND
+        reserve = (
+            (SHORTAGE_RESERVE + 1.0 - job.cls.worth / self._max_worth) * self._settings.units_top
+            if shortage
+            else 0.0
+        )
+        fits = customer.has_room(units, job.request.entry_points, reserve, uncertain)
         if not fits:
-            customer.short_at = self._now
+            customer.last_no_room_at = self._now
         return fits
 
-    def _spent(self, request: Request, cls: RequestClass) -> int:
-        """Time since the client's first try, where that shows and either counter or servers are crowded.
+    def _time_spent(self, request: Request, cls: RequestClass) -> int:
+        """Time since the client's first try, if known and if the counter or the servers are overloaded.
 
-        Most tries of a class come with the same time left. One with less is a later try with the rest of its
-        time: once its aim has passed, it would take units and work for nothing. One with more is none: where
-        many are refused, later tries are the most. Harms clients that come with little patience, hence only
-        where others would go without. Where clients mark later tries, first ones tell by themselves.
+        Most tries of a class come with the same time left, which is found by a majority vote. One with less
+        is a retry with the rest of its time: once its aim has passed, it would take units and work for
+        nothing. One with more is no retry: where many are refused, retries are the majority. This harms
+        clients that come with little time, hence it applies only where others would go without. Where clients
+        mark retries, the usual time left comes from their first tries.
         """
-        usual, votes = self._patience[request.cls]
-        same = abs(usual - request.time_left) <= TRY_MATCH * cls.deadline
-        self._patience[request.cls] = (
+        usual, votes = self._usual_time_left[request.cls]
+        same = abs(usual - request.time_left) <= TIME_LEFT_TOLERANCE * cls.deadline
+        self._usual_time_left[request.cls] = (
             (usual, votes + 1) if same else ((request.time_left, 0) if votes <= 0 else (usual, votes - 1))
         )
-        if self._s.marks_retries:
-            firsts = self._firsts.setdefault(request.cls, deque(maxlen=FIRSTS))
+        if self._settings.marks_retries:
+            firsts = self._first_tries.setdefault(request.cls, deque(maxlen=FIRST_TRY_SAMPLES))
             if not request.retry:
                 firsts.append(request.time_left)
             usual = min(firsts, default=0)
-        later = request.time_left < usual - TRY_MATCH * cls.deadline
-        crowded = self._calling < 1.0 or (self._pooled is not None and self._credit < self._longest / 2)
-        return cls.deadline - request.time_left if later and crowded and cls.late_worth < 0.5 else 0
+        is_retry = request.time_left < usual - TIME_LEFT_TOLERANCE * cls.deadline
+        overloaded = self._call_share < 1.0 or (
+            self._shared_limit is not None and self._credit < self._max_aim / 2
+        )
+        return cls.deadline - request.time_left if is_retry and overloaded and cls.late_worth < 0.5 else 0
 
-    def _customer(self, number: int, plan: Plan, entry_points: int) -> Customer:
-        """The customer's state, moved on to now. Customers long unheard of are dropped."""
-        customer = self._customers.get(number)
+    def _get_customer(self, customer_id: int, plan: Plan, entry_points: int) -> Customer:
+        """The customer's state, brought up to date. Customers not seen for long are evicted."""
+        customer = self._customers.get(customer_id)
         if customer is None:
-            customer = self._customers[number] = Customer(plan.burst, self._now)
-            # The ceiling's share starts empty at boot, so that no restart refills it; and where all of it has
-            # been handed back, as another gateway may have served the customer meanwhile.
-            customer.limit_at = self._emptied
-            if self._failed >= BREAKER_TRIP and self._now - self._emptied_at < NAME_LIFE:
-                customer.debt = plan.burst  # no total tells what it has used elsewhere
+            customer = self._customers[customer_id] = Customer(plan.burst, self._now)
+            # The ceiling's share starts empty at boot, so that no restart refills it; and also after all of
+            # it has been handed back, as another gateway may have served the customer meanwhile.
+            customer.ceiling_refill_mark = self._handed_back_mark
+            if self._counter_failures >= BREAKER_THRESHOLD and self._now - self._handed_back_at < NAME_LIFE:
+                customer.debt = plan.burst  # no total shows what it has used at other gateways
         elif customer.burst != plan.burst:
-            customer.burst = plan.burst  # a plan's new figures hold for what is taken already, too
-        self._customers.move_to_end(number)
-        for name in list(islice(self._customers, 2)) if len(self._customers) > 64 else ():
-            old = self._customers[name]
-            if old is not customer and not old.open and not old.waits and self._as_new(old):
-                del self._customers[name]
+            customer.burst = plan.burst  # a plan's new figures apply to units already taken, too
+        self._customers.move_to_end(customer_id)
+        for other_id in list(islice(self._customers, 2)) if len(self._customers) > 64 else ():
+            candidate = self._customers[other_id]
+            if (
+                candidate is not customer
+                and not candidate.open_requests
+                and not candidate.waits
+                and self._is_evictable(candidate)
+            ):
+                del self._customers[other_id]
         if plan.rate > 0:
-            passed = (self._now - customer.at) / SECOND
-            customer.debt = max(0.0, customer.debt - plan.rate * passed)
-            fade = math.exp(-passed * plan.rate / plan.burst / LOOK_WINDOWS)
-            customer.looks, customer.over = customer.looks * fade, customer.over * fade
-        customer.at = self._now
+            elapsed = (self._now - customer.updated_at) / SECOND
+            customer.debt = max(0.0, customer.debt - plan.rate * elapsed)
+            fade = math.exp(-elapsed * plan.rate / plan.burst / DECISION_FADE_WINDOWS)
+            customer.recent_decisions, customer.recent_refusals = (
+                customer.recent_decisions * fade,
+                customer.recent_refusals * fade,
+            )
+        customer.updated_at = self._now
         spread = max(1, entry_points)
-        customer.rate = plan.rate
-        full = plan.ceiling_burst - (held_back(plan) if self._s.limits.peers else 0.0)
-        customer.fill, customer.full = plan.ceiling_rate / spread, max(0.0, full) / spread
-        self._refill(customer)
+        customer.quota_rate = plan.rate
+        capacity = plan.ceiling_burst - (held_back(plan) if self._settings.limits.peers else 0.0)
+        customer.ceiling_refill_rate, customer.full = plan.ceiling_rate / spread, max(0.0, capacity) / spread
+        self._refill_ceiling(customer)
         return customer
 
-    def _as_new(self, customer: Customer) -> bool:
-        """Long unheard of, and all refilled: letting it go gives it no fresh burst."""
-        passed = (self._now - customer.at) / SECOND
-        quota = not customer.rate or customer.debt <= customer.rate * passed
-        self._refill(customer)  # a part may have been lent since
-        ceiling = not customer.fill or customer.full * self._part <= customer.ceiling
-        return passed > NAME_LIFE / 2 / SECOND and quota and ceiling
-
-    def _refill(self, customer: Customer) -> None:
-        """What has come to this gateway's share of the customer's ceiling since it was looked at."""
-        filled = self._filled + self._part * (self._now - self._filled_at)
-        more = customer.fill * (filled - customer.limit_at) / SECOND
-        most = customer.full * self._part
-        if customer.waits:  # what has been borrowed for them may be more than is ever saved up here
-            most = max(most, customer.ceiling)
-        customer.ceiling, customer.limit_at = min(most, customer.ceiling + more), filled
+    def _is_evictable(self, customer: Customer) -> bool:
+        """Whether the customer is idle for long and fully refilled: evicting it grants no fresh burst."""
+        elapsed = (self._now - customer.updated_at) / SECOND
+        quota_refilled = not customer.quota_rate or customer.debt <= customer.quota_rate * elapsed
+        self._refill_ceiling(customer)  # units may have been lent since
+        ceiling_refilled = (
+            not customer.ceiling_refill_rate or customer.full * self._ceiling_part <= customer.ceiling
+        )
+        return elapsed > NAME_LIFE / 2 / SECOND and quota_refilled and ceiling_refilled
+
+    def _refill_ceiling(self, customer: Customer) -> None:
+        """Refill this gateway's share of the customer's ceiling up to now."""
+        refilled = self._ceiling_refilled + self._ceiling_part * (self._now - self._ceiling_refilled_at)
+        added = customer.ceiling_refill_rate * (refilled - customer.ceiling_refill_mark) / SECOND
+        capacity = customer.full * self._ceiling_part
+        if customer.waits:  # units borrowed for these may exceed what is ever saved up here
+            capacity = max(capacity, customer.ceiling)
+        customer.ceiling, customer.ceiling_refill_mark = min(capacity, customer.ceiling + added), refilled
 
     def _on_share(self, part: float) -> None:
-        """Guards the sum of the shares: what is handed back goes with what had been saved up in it."""
-        if part < self._part:
+        """Change this gateway's part of all ceilings.
+
+        What is handed back goes with the units saved up in it, so that the shares of all gateways together
+        never exceed the whole.
+        """
+        if part < self._ceiling_part:
             for customer in self._customers.values():
-                self._refill(customer)
-                customer.ceiling *= part / self._part
-        self._filled += self._part * (self._now - self._filled_at)
-        self._part, self._filled_at = part, self._now
+                self._refill_ceiling(customer)
+                customer.ceiling *= part / self._ceiling_part
+        self._ceiling_refilled += self._ceiling_part * (self._now - self._ceiling_refilled_at)
+        self._ceiling_part, self._ceiling_refilled_at = part, self._now
         if part <= 0:
-            self._emptied, self._emptied_at = self._filled, self._now
+            self._handed_back_mark, self._handed_back_at = self._ceiling_refilled, self._now
 
     def _enter_window(self, job: OpenRequest, plan: Plan) -> tuple[int, int]:
         """The name of the customer's count now, and its window's length; a new window starts from nothing."""
-        number, length = window(job.request.customer, plan, self._now + self._shift)
+        number, length = window(job.request.customer, plan, self._now + self._clock_shift)
         name = count_name(job.request.customer, number)
-        if job.customer.window != name:
-            job.customer.window, job.customer.total, job.customer.own, job.customer.lost = name, 0.0, 0.0, 0.0
-            job.customer.guess, job.customer.excess = 0.0, 0.0  # totals tell nothing of the time before
-            job.customer.owed = max(0.0, job.customer.owed)  # this count never held what would be taken back
+        if job.customer.count_name != name:
+            job.customer.count_name, job.customer.total, job.customer.own_total, job.customer.unconfirmed = (
+                name,
+                0.0,
+                0.0,
+                0.0,
+            )
+            # Totals say nothing of the time before.
+            job.customer.estimated_other_units, job.customer.excess = 0.0, 0.0
+            # This count never held units that were to be refunded.
+            job.customer.pending = max(0.0, job.customer.pending)
         return name, length
 
     def _count(self, job: OpenRequest, plan: Plan, waiting: int | None, units: float) -> None:
-        """Add to the customer's count of this window; `waiting` is the request that hangs on the total."""
+        """Add to the customer's count of this window; `waiting` is the request that waits for the total."""
         name, length = self._enter_window(job, plan)
-        # What has been refilled since is owed no more.
-        units, job.customer.owed = units + min(job.customer.owed, job.customer.debt), 0.0
-        self._asked.setdefault(name, []).append(waiting)
-        self._amounts.setdefault(name, []).append((job.customer, units))
-        self._out.append(Count(name, units, min(NAME_LIFE, 2 * length)))
+        # Pending units that have been refilled since need not be added any more.
+        units, job.customer.pending = units + min(job.customer.pending, job.customer.debt), 0.0
+        self._open_calls.setdefault(name, []).append(waiting)
+        self._call_amounts.setdefault(name, []).append((job.customer, units))
+        self._actions.append(Count(name, units, min(NAME_LIFE, 2 * length)))
 
     def _on_counted(self, event: Counted) -> None:
-        self._about = waiting = self._asked[event.name].pop(0)
-        customer, amount = self._amounts[event.name].pop(0)
-        if not self._asked[event.name]:
-            del self._asked[event.name], self._amounts[event.name]
+        self._current_request = waiting = self._open_calls[event.name].pop(0)
+        customer, amount = self._call_amounts[event.name].pop(0)
+        if not self._open_calls[event.name]:
+            del self._open_calls[event.name], self._call_amounts[event.name]
         job = self._jobs.get(waiting) if waiting is not None else None
-        self._pace_calls(event)
+        self._adapt_call_share(event)
         if event.result is not Result.OK:
-            self._count_failed(event, customer, amount)
-            if job is not None and job.held:
-                self._decide_alone(job, self._s.plans[job.request.plan])
+            self._on_call_failed(event, customer, amount)
+            if job is not None and job.awaiting_total:
+                self._decide_locally(job, self._settings.plans[job.request.plan])
             return
-        self._failed = 0
-        others = self._take_total(customer, event.name, amount, event.total)
-        if job is None or not job.held:
-            customer.take(others)
+        self._counter_failures = 0
+        others = self._apply_total(customer, event.name, amount, event.total)
+        if job is None or not job.awaiting_total:
+            customer.apply_others(others)
             return
-        plan = self._s.plans[job.request.plan]
-        customer.debt = max(0.0, customer.debt - plan.rate * (self._now - customer.at) / SECOND)
-        customer.at = self._now
-        customer.take(others - (job.request.units if job.request.counted else 0.0))  # others' but for its own
-        customer.backlog += SMOOTH * (max(0.0, amount - job.added) - customer.backlog)
-        over = not self._within(job, plan, job.request.units)
-        customer.looks += 1.0
-        customer.over += over
-        self._over[job.request.plan] += PACE_SMOOTH * (over - self._over[job.request.plan])
+        plan = self._settings.plans[job.request.plan]
+        customer.debt = max(0.0, customer.debt - plan.rate * (self._now - customer.updated_at) / SECOND)
+        customer.updated_at = self._now
+        # Other gateways' units without the request's own.
+        customer.apply_others(others - (job.request.units if job.request.counted else 0.0))
+        customer.mean_pending += SMOOTHING * (max(0.0, amount - job.counted_units) - customer.mean_pending)
+        over = not self._fits_quota(job, plan, job.request.units)
+        customer.recent_decisions += 1.0
+        customer.recent_refusals += over
+        self._plan_refusal_rate[job.request.plan] += SLOW_SMOOTHING * (
+            over - self._plan_refusal_rate[job.request.plan]
+        )
         if over:
             self._end(job, Cause.QUOTA)
         else:
             customer.debt += job.request.units
-            self._pass(job, plan)
+            self._on_quota_granted(job, plan)
 
-    def _take_total(self, customer: Customer, name: int, amount: float, total: float) -> float:
-        """What a total tells of the others' use, beyond what has been guessed of it."""
-        if name != customer.window:
+    def _apply_total(self, customer: Customer, name: int, amount: float, total: float) -> float:
+        """What a total shows of other gateways' use, beyond what was estimated."""
+        if name != customer.count_name:
             return 0.0
         others = total - customer.total - amount
-        # Of the adds whose answers were lost this total can hold so much; the rest was not added.
-        shown = min(max(others, 0.0), customer.lost) if customer.lost > 0 else customer.lost
-        customer.owed += customer.lost - shown
-        customer.own, customer.lost, others = customer.own + amount, 0.0, others - shown
+        # This total can hold at most so much of the increments whose answers were lost; the rest was not
+        # added.
+        confirmed = (
+            min(max(others, 0.0), customer.unconfirmed) if customer.unconfirmed > 0 else customer.unconfirmed
+        )
+        customer.pending += customer.unconfirmed - confirmed
+        customer.own_total, customer.unconfirmed, others = (
+            customer.own_total + amount,
+            0.0,
+            others - confirmed,
+        )
         customer.total = total
-        if total < customer.own - 0.5:
-            # The count was lost: what this gateway remembers stays as the lower bound.
-            customer.own = amount
+        if total < customer.own_total - 0.5:
+            # The count was lost: this gateway's own record remains as the lower bound.
+            customer.own_total = amount
             return 0.0
-        customer.seen_own += amount + shown - SMOOTH * customer.seen_own
-        customer.seen_others += others - SMOOTH * customer.seen_others
-        guess, customer.guess = customer.guess, 0.0
-        return others - guess
+        customer.recent_own += amount + confirmed - SMOOTHING * customer.recent_own
+        customer.recent_others += others - SMOOTHING * customer.recent_others
+        estimated, customer.estimated_other_units = customer.estimated_other_units, 0.0
+        return others - estimated
 
-    def _on_late(self, event: CountedLate) -> None:
-        """The total of a call that had ended without one: nobody waits for it, but it is as true as any.
+    def _on_counted_late(self, event: CountedLate) -> None:
+        """Apply the total of a call that had ended without one: no request waits for it, but it is valid.
 
-        Guards against adds of this gateway that pass for others' use, or are owed though they were made, and
-        against a view that grows old where most calls are late. Harmless where a total comes out of order:
-        the next one puts it right.
+        This prevents increments of this gateway from being taken for others' use, or from staying pending
+        though they were added, and an outdated view where most calls are late. A total that comes out of
+        order is harmless: the next one corrects it.
         """
         customer = self._customers.get(event.name >> 24)
-        if customer is not None and event.name == customer.window:
-            customer.lost -= event.amount
-            customer.own -= min(0.0, event.amount)  # it was taken off when the call ended
-            others = self._take_total(customer, event.name, event.amount, event.total)
-            customer.take(others)
+        if customer is not None and event.name == customer.count_name:
+            customer.unconfirmed -= event.amount
+            customer.own_total -= min(0.0, event.amount)  # it was subtracted when the call ended
+            others = self._apply_total(customer, event.name, event.amount, event.total)
+            customer.apply_others(others)
 
-    def _count_failed(self, event: Counted, customer: Customer, amount: float) -> None:
-        """No total. What was not added is owed; what may have been is this gateway's own in the next total.
+    def _on_call_failed(self, event: Counted, customer: Customer, amount: float) -> None:
+        """Handle a call that ended without a total.
 
-        It is away when calls fail one after another, each sent after the one before it had failed: those
-        in one queue or on one broken connection fail together. A counter that turns calls away is there.
+        Units that were not added are pending; those that may have been added are this gateway's own in the
+        next total.
+
+        The counter counts as unavailable when calls fail one after another, each sent after the one before it
+        had failed: those in one queue or on one broken connection fail together. A counter that rejects calls
+        is available.
         """
         if event.result.never_ran:
-            customer.owed += amount
-        elif event.name == customer.window:
-            customer.lost += amount
-            customer.own += min(0.0, amount)
-        if event.result is not Result.FULL and self._now - event.elapsed >= self._failed_at:
-            self._failed, self._failed_at = self._failed + 1, self._now
-
-    def _pace_calls(self, event: Counted) -> None:
-        """A crowded counter is called for a share of the requests; a call then adds what others left owed.
-
-        Guards against calls that the counter works on when nobody waits for them any more, which would lose
-        the totals of all. Answers in time, however few, let the share grow again.
+            customer.pending += amount
+        elif event.name == customer.count_name:
+            customer.unconfirmed += amount
+            customer.own_total += min(0.0, amount)
+        if event.result is not Result.FULL and self._now - event.elapsed >= self._counter_failed_at:
+            self._counter_failures, self._counter_failed_at = self._counter_failures + 1, self._now
+
+    def _adapt_call_share(self, event: Counted) -> None:
+        """Adapt the share of requests that call the counter to its load.
+
+        A call to an overloaded counter also adds the pending units of requests that made none. This prevents
+        calls that the counter works on when no request waits for them any more, which would lose the totals
+        of all. Answers in time, however few, let the share grow again.
         """
-        limit = self._s.counter.time_limit if self._s.counter else 0
-        if event.result is Result.OK and self._failed >= BREAKER_TRIP:
-            self._calling = 1.0  # it was away, not crowded
+        limit = self._settings.counter.time_limit if self._settings.counter else 0
+        if event.result is Result.OK and self._counter_failures >= BREAKER_THRESHOLD:
+            self._call_share = 1.0  # it was unavailable, not overloaded
         elif event.result is Result.OK:
-            if event.elapsed <= CALL_SLOW * limit:
-                self._calling = min(1.0, self._calling + CALL_RAISE)
+            if event.elapsed <= PROMPT_CALL_SHARE * limit:
+                self._call_share = min(1.0, self._call_share + CALL_SHARE_INCREASE)
         elif event.result not in (Result.TIMEOUT, Result.FULL):
             pass  # a broken connection says nothing of the counter's load
-        elif self._now - event.elapsed >= self._calling_cut:
-            self._calling, self._calling_cut = max(CALL_LEAST, self._calling * CALL_CUT), self._now
+        elif self._now - event.elapsed >= self._call_share_cut_at:
+            self._call_share, self._call_share_cut_at = (
+                max(MIN_CALL_SHARE, self._call_share * CALL_SHARE_DECREASE),
+                self._now,
+            )
 
-    def _settle(self, job: OpenRequest, units: float) -> None:
-        """Units that turned out otherwise than counted: guesses, or a request that was not sent on.
+    def _correct_count(self, job: OpenRequest, units: float) -> None:
+        """Correct the count: the counted units were estimates, or the request was not sent on.
 
-        On a crowded counter they are added with the next call for the customer.
+        On an overloaded counter the correction is added with the next call for the customer.
         """
-        plan = self._s.plans[job.request.plan]
-        if not job.added or plan.rate <= 0 or job.unsure:  # its plan may have lost its quota meanwhile
+        plan = self._settings.plans[job.request.plan]
+        # Its plan may have lost its quota meanwhile.
+        if not job.counted_units or plan.rate <= 0 or job.unsure:
             return
-        if not self._had_counter:  # another gateway added it, and had one
+        if not self._had_counter:  # another gateway counted it, and had a counter
             return
-        units *= job.added / job.request.units
-        if self._calling >= 1.0 and self._failed < BREAKER_TRIP:
+        units *= job.counted_units / job.request.units
+        if self._call_share >= 1.0 and self._counter_failures < BREAKER_THRESHOLD:
             self._count(job, plan, None, units)
         else:
-            job.customer.owed += units
+            job.customer.pending += units
 
-    def _decide_alone(self, job: OpenRequest, plan: Plan) -> None:
-        """Exception: no total to be had. What this gateway lets through stands for what others do meanwhile.
+    def _decide_locally(self, job: OpenRequest, plan: Plan) -> None:
+        """Decide without a total: units let through here also stand for those let through elsewhere.
 
-        As much at each gateway where there is no counter, else as much as totals told of them, where no call
-        of its own is out: while it is away, the parts of all come to the whole quota. The next total replaces
-        that guess. It guards a quota against as many bursts as gateways share it, and refuses too much where
-        a customer comes here more than it used to; one that moves may get three quarters of it more.
+        Without a counter, each other gateway counts for as much as this one, otherwise for as much as totals
+        showed of them, where the request has not been counted itself. So the parts of all gateways add up to
+        the whole quota while the counter is unavailable. The next total replaces that estimate. This prevents
+        one burst for each gateway that shares the quota. It refuses too much where a customer comes here more
+        than before; one that moves to other gateways may get three quarters of its quota more.
         """
-        if plan.rate <= 0:  # it has lost its quota while the total was on its way
-            self._pass(job, plan)
+        if plan.rate <= 0:  # it lost its quota while the total was on its way
+            self._on_quota_granted(job, plan)
             return
         customer, cost, others = job.customer, job.request.units, 0.0
-        if self._s.counter is None:
+        if self._settings.counter is None:
             others = cost * (max(1, job.request.entry_points) - 1)
-        elif self._failed >= BREAKER_TRIP or not (self._seldom or job.added):
-            others = cost * customer.others(job.request.entry_points)
+        elif self._counter_failures >= BREAKER_THRESHOLD or not (self._sparse_customers or job.counted_units):
+            others = cost * customer.others_per_own_unit(job.request.entry_points)
         cost += others
-        # One request may cost more than the burst where many gateways share it: it waits for an empty debt.
-        if self._within(job, plan, cost) and (self._may_pass(job, plan) or self._may_borrow(job, plan)):
-            self._borrow(job, plan)
+        # One request may cost more than the burst where many gateways share it: it waits until the debt is
+        # zero.
+        if self._fits_quota(job, plan, cost) and (
+            self._within_ceiling(job, plan) or self._can_borrow(job, plan)
+        ):
+            self._borrow_if_short(job, plan)
             self._enter_window(job, plan)
             customer.debt += cost
-            customer.guess += others
-            owes = self._s.counter is not None and self._failed < BREAKER_TRIP
-            if owes and not (job.added or self._seldom):
-                customer.owed, job.added = customer.owed + job.request.units, job.request.units
-            self._pass(job, plan)
+            customer.estimated_other_units += others
+            count_later = self._settings.counter is not None and self._counter_failures < BREAKER_THRESHOLD
+            if count_later and not (job.counted_units or self._sparse_customers):
+                customer.pending, job.counted_units = customer.pending + job.request.units, job.request.units
+            self._on_quota_granted(job, plan)
         else:
             self._end(job, Cause.QUOTA)
 
     # --- ceilings ---------------------------------------------------------------------------------------
 
-    def _may_pass(self, job: OpenRequest, plan: Plan) -> bool:
-        """Rule 5, and plans that cap what is out: this gateway's own share, whatever the counter says."""
-        return self._may_open(job, plan) and (
+    def _within_ceiling(self, job: OpenRequest, plan: Plan) -> bool:
+        """Rule 5, and plans that limit concurrency: this gateway's own share, whatever the counter says."""
+        return self._within_concurrency(job, plan) and (
             plan.ceiling_rate <= 0 or job.request.sent or job.customer.ceiling >= job.request.units
         )
 
-    def _may_open(self, job: OpenRequest, plan: Plan) -> bool:
+    def _within_concurrency(self, job: OpenRequest, plan: Plan) -> bool:
         spread = max(1, job.request.entry_points)
-        return not plan.concurrency or job.customer.open < -(-plan.concurrency // spread)
+        return not plan.concurrency or job.customer.open_requests < -(-plan.concurrency // spread)
 
-    def _may_borrow(self, job: OpenRequest, plan: Plan) -> bool:
-        """Other gateways may have saved up what is missing here."""
-        lends = self._s.limits.peers and plan.ceiling_rate > 0 and self._part > 0
-        return lends and job.request.entry_points > 1 and self._may_open(job, plan)
+    def _can_borrow(self, job: OpenRequest, plan: Plan) -> bool:
+        """Whether other gateways may have saved up the ceiling units that are missing here."""
+        lends = self._settings.limits.peers and plan.ceiling_rate > 0 and self._ceiling_part > 0
+        return lends and job.request.entry_points > 1 and self._within_concurrency(job, plan)
 
-    def _pass(self, job: OpenRequest, plan: Plan) -> None:
-        """The quota allows it, and it is in the debt; it goes on as soon as the ceiling allows it, too.
+    def _on_quota_granted(self, job: OpenRequest, plan: Plan) -> None:
+        """Send a request that the quota allows, as soon as the ceiling allows it. Its units are in the debt.
 
-        It waits no longer than for a total, and only while questions are out that may bring what is missing.
+        It waits no longer than for a total, and only while other gateways may still answer with the missing
+        units.
         """
-        customer, job.held = job.customer, False
-        self._refill(customer)
-        if self._may_pass(job, plan):
-            self._try(job)
-            low = customer.ceiling < ASK_LOW * self._s.units_top
-            if low and self._may_borrow(job, plan) and not self._hopes(job):
-                self._ask(job, plan, 1)  # for the next one
-        elif self._may_borrow(job, plan) and self._hopes(job):
+        customer, job.awaiting_total = job.customer, False
+        self._refill_ceiling(customer)
+        if self._within_ceiling(job, plan):
+            self._start_attempt(job)
+            low = customer.ceiling < LOW_CEILING_UNITS * self._settings.units_top
+            if low and self._can_borrow(job, plan) and not self._loan_expected(job):
+                self._ask(job, plan, 1)  # for the next request
+        elif self._can_borrow(job, plan) and self._loan_expected(job):
             customer.waits.append(job)
-            self._set_timer(min(LIFE, self._patience_of(job)), job.request.id, WAIT_OVER)
+            self._set_timer(min(LIFE, self._max_wait_for_total(job)), job.request.id, CEILING_WAIT_TIMER)
         else:
             self._end(job, Cause.CEILING)
 
-    def _borrow(self, job: OpenRequest, plan: Plan) -> None:
-        """Ask for what is missing at once, while the total is on its way."""
-        if job.customer.ceiling < job.request.units and self._may_borrow(job, plan):
-            self._ask(job, plan, ASK_FIRST)
+    def _borrow_if_short(self, job: OpenRequest, plan: Plan) -> None:
+        """Ask for missing ceiling units at once, while the total is on its way."""
+        if job.customer.ceiling < job.request.units and self._can_borrow(job, plan):
+            self._ask(job, plan, INITIAL_PEERS_ASKED)
 
-    def _hopes(self, job: OpenRequest) -> bool:
-        """Questions are out for its customer."""
+    def _loan_expected(self, job: OpenRequest) -> bool:
+        """Whether questions to other gateways for its customer are open."""
         return self._questions.out(job.request.customer, self._now) > 0
 
     def _ask(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
         request, customer = job.request, job.customer
-        full = customer.full * self._part
-        wanted = max(request.units - customer.ceiling, (full - customer.ceiling) / gateways)
+        capacity = customer.full * self._ceiling_part
+        wanted = max(request.units - customer.ceiling, (capacity - customer.ceiling) / gateways)
         ask = Ask(request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry)
-        for _ in range(min(gateways, ASK_MOST - job.asks)):
-            tell = self._questions.ask(ask, self._s.fleet_size, self._now)
+        for _ in range(min(gateways, MAX_PEERS_ASKED - job.peers_asked)):
+            tell = self._questions.ask(ask, self._settings.fleet_size, self._now)
             if tell is not None:
-                job.asks += 1
-                self._out.append(tell)
+                job.peers_asked += 1
+                self._actions.append(tell)
 
-    def _on_peer(self, event: PeerMessage) -> None:
-        """A question for a part of a ceiling, or the answer to one; anything else is dropped."""
+    def _on_peer_message(self, event: PeerMessage) -> None:
+        """Handle a question for ceiling units, or the answer to one; any other message is dropped."""
         message = read(event.data)
         if isinstance(message, Ask):
             self._lend(message, event.sender)
@@ -640,511 +802,597 @@
             units = self._questions.answered(message, event.sender, self._now)
             customer = self._customers.get(message.customer)
             if units is not None and customer is not None:
-                self._refill(customer)
+                self._refill_ceiling(customer)
                 customer.ceiling += units
-                self._go_on(customer)
-                self._refill(customer)  # what nobody waits for is saved up within this gateway's part
+                self._resume_waiting(customer)
+                # Units that no request waits for are saved up within this gateway's part.
+                self._refill_ceiling(customer)
 
     def _lend(self, ask: Ask, sender: int) -> None:
-        """What is taken off here counts for the sender. Nothing is lent to or by a gateway without a part."""
-        fleet = self._s.fleet_size
-        if not self._s.limits.peers:  # a reload may have ruled messages out while one was on its way
+        """Lend ceiling units to the sender: units subtracted here count for it.
+
+        Nothing is lent to or by a gateway that has no part of the customer's ceiling.
+        """
+        fleet = self._settings.fleet_size
+        if not self._settings.limits.peers:  # a reload may have disabled messages while one was on its way
             return
-        known = ask.plan < len(self._s.plans) and 1 < ask.spread <= fleet and sender != self._s.index
-        if not known or not all(in_set(n, ask.first, ask.spread, fleet) for n in (sender, self._s.index)):
+        valid = (
+            ask.plan < len(self._settings.plans)
+            and 1 < ask.spread <= fleet
+            and sender != self._settings.index
+        )
+        if not valid or not all(
+            in_set(n, ask.first, ask.spread, fleet) for n in (sender, self._settings.index)
+        ):
             return
-        plan = self._s.plans[ask.plan]
+        plan = self._settings.plans[ask.plan]
         customer = self._customers.get(ask.customer)
         if customer is None and plan.ceiling_rate > 0:
-            customer = self._customer(ask.customer, plan, ask.spread)
+            customer = self._get_customer(ask.customer, plan, ask.spread)
         units = 0.0
-        if customer is not None and customer.fill > 0 and not customer.waits:
-            self._refill(customer)
-            keep = 0.5 if self._now - customer.here_at < GIVE_BUSY else 0.0
-            units = max(0.0, min(ask.units, customer.ceiling * (1.0 - keep)))
+        if customer is not None and customer.ceiling_refill_rate > 0 and not customer.waits:
+            self._refill_ceiling(customer)
+            kept_share = 0.5 if self._now - customer.last_request_at < BUSY_CUSTOMER_TIME else 0.0
+            units = max(0.0, min(ask.units, customer.ceiling * (1.0 - kept_share)))
             customer.ceiling -= units
-        self._out.append(Tell(sender, write(Give(ask.customer, ask.number, units))))
+        self._actions.append(Tell(sender, write(Give(ask.customer, ask.number, units))))
 
-    def _go_on(self, customer: Customer) -> None:
-        """Requests that wait go on in their order, ask once more, or are told that there is nothing."""
+    def _resume_waiting(self, customer: Customer) -> None:
+        """Resume waiting requests in order: each is sent, asks once more, or is refused if none is left."""
         while customer.waits:
             job = customer.waits[0]
-            self._about = job.request.id
-            plan = self._s.plans[job.request.plan]
-            if self._may_pass(job, plan):
+            self._current_request = job.request.id
+            plan = self._settings.plans[job.request.plan]
+            if self._within_ceiling(job, plan):
                 customer.waits.pop(0)
-                self._try(job)
+                self._start_attempt(job)
                 continue
-            if not self._hopes(job):
+            if not self._loan_expected(job):
                 self._ask(job, plan, 1)
-            if self._hopes(job):
+            if self._loan_expected(job):
                 return
             self._end(job, Cause.CEILING)
 
     # --- choose -----------------------------------------------------------------------------------------
 
-    def _rank(self, job: OpenRequest, plan: Plan, hot: bool) -> float:
-        """Who is refused first when room is short: beyond quota (1), then the least worth for its work."""
-        value = job.cls.worth * plan.price / (self._usual[job.request.cls] or self._longest)
-        self._mean_value += SMOOTH * (value - self._mean_value)
-        return 1.0 if hot else max(0.0, 1.0 - value / self._mean_value)
+    def _refusal_priority(self, job: OpenRequest, plan: Plan, likely_over_quota: bool) -> float:
+        """Refusal priority when room is short: 1 beyond the quota, else higher for less worth per work."""
+        value = job.cls.worth * plan.price / (self._class_latency[job.request.cls] or self._max_aim)
+        self._mean_value += SMOOTHING * (value - self._mean_value)
+        return 1.0 if likely_over_quota else max(0.0, 1.0 - value / self._mean_value)
 
-    def _room(self, rank: float = 0.0) -> bool:
-        """Less is out than all servers' limits together allow.
+    def _has_room(self, priority: float = 0.0) -> bool:
+        """Whether fewer attempts are in flight than all servers' limits together allow.
 
-        Where they come to a fraction of an attempt at each server, whole ones of their sum may be out, and a
-        fraction holds for the mean over time: what is allowed to be out saves up credit, what is out spends
-        it. So all gateways together keep the limit, and a random burst at one of them is not refused.
+        Where the limits come to a fraction of an attempt for each server, whole attempts of their sum may be
+        in flight, and a fraction holds for the mean over time: the limit earns credit, and attempts in flight
+        spend it. So all gateways together keep the limit, and a random burst at one of them is not refused.
         """
-        if self._pooled is not None:
-            if self._live + 1 <= self._allowed() * (1.0 - KEPT * rank):
+        if self._shared_limit is not None:
+            if self._in_flight + 1 <= self._total_limit() * (1.0 - LIMIT_RESERVE * priority):
                 return True
-            self._accrue()
-            spent = self._live * (max(self._usual) or METER_PATIENCE * self._longest)
-            return self._credit > spent + RESERVE * rank * self._longest
-        held, limit = self._sums
-        if len(self._ready) <= MANY or self._now - self._sums_at >= SUMS_KEPT:
-            # What one server holds beyond its limit, all of it given up perhaps, takes no room at the others.
-            old = self._now - int(GHOST_AIMS * self._longest)
-            held = limit = 0.0
-            for server in self._ready:  # written out: this and the choice are most of what a request costs
-                most, count = server.limit.most, server.held(old) if server.ghosts else len(server.out)
-                held += count if count < most else most
-                limit += most
-            self._sums, self._sums_at = (held, limit), self._now
-        return limit > 0 and held < max(1.0, limit * (1.0 - KEPT * rank))
-
-    def _allowed(self) -> float:
-        """Attempts that this gateway may have out in all, where all servers have one limit."""
-        return self._pooled.most * len(self._ready) if self._pooled is not None else 0.0
-
-    def _accrue(self) -> None:
+            self._accrue_credit()
+            spent = self._in_flight * (max(self._class_latency) or TOTAL_WAIT_SHARE * self._max_aim)
+            return self._credit > spent + CREDIT_RESERVE * priority * self._max_aim
+        occupied, limit = self._room_sums
+        if len(self._ready) <= MANY or self._now - self._room_sums_at >= CACHE_TIME:
+            # Attempts beyond one server's limit, perhaps all of them abandoned, take no room at the other
+            # servers.
+            oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
+            occupied = limit = 0.0
+            # Written inline: this and the choice are most of the cost of a request.
+            for server in self._ready:
+                server_limit, count = (
+                    server.limit.max_in_flight,
+                    server.occupancy(oldest) if server.abandoned else len(server.out),
+                )
+                occupied += count if count < server_limit else server_limit
+                limit += server_limit
+            self._room_sums, self._room_sums_at = (occupied, limit), self._now
+        return limit > 0 and occupied < max(1.0, limit * (1.0 - LIMIT_RESERVE * priority))
+
+    def _total_limit(self) -> float:
+        """Attempts this gateway may have in flight in total, if all servers share one limit; otherwise 0."""
+        return self._shared_limit.max_in_flight * len(self._ready) if self._shared_limit is not None else 0.0
+
+    def _accrue_credit(self) -> None:
         """Bring the credit up to now."""
-        if self._pooled is not None:
-            gain = self._allowed() - self._live
-            self._credit = min(self._longest, self._credit + gain * (self._now - self._credit_at))
-        self._credit_at = self._now
+        if self._shared_limit is not None:
+            gain = self._total_limit() - self._in_flight
+            self._credit = min(self._max_aim, self._credit + gain * (self._now - self._credit_updated_at))
+        self._credit_updated_at = self._now
 
-    def _choose(self, job: OpenRequest, avoid: str | None) -> Server | None:
+    def _choose_server(self, job: OpenRequest, avoid: str | None) -> Server | None:
         """The server with the least expected wait, among those that every rule allows for this attempt."""
-        if not self._room():
+        if not self._has_room():
             return None
-        old = self._now - int(GHOST_AIMS * self._longest)
-        shunned, each = self._shunned(), self._pooled is None
-        cold_since, kept = self._now - self._s.safety.cold_span, self._now - KEPT_FOR
-        best, least, new = None, 0.0, min(NEW_MOST, 1.0 + NEW_PRICED * self._s.handshake_price)
-        # What the expected wait goes by is written out here: this loop is most of what a request costs.
-        now, mean, zone, weighted = self._now, self._mean_load, self._s.zone, self._s.weighted
-        draw, exp, log, power = self._random.random, math.exp, math.log, math.pow
+        oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
+        ejected, separate_limits = self._ejected_servers(), self._shared_limit is None
+        cold_since, idle_since = self._now - self._settings.safety.cold_span, self._now - IDLE_CONNECTION_TIME
+        best, least_cost, new_connection_factor = (
+            None,
+            0.0,
+            min(MAX_HANDSHAKE_PENALTY, 1.0 + HANDSHAKE_PRICE_FACTOR * self._settings.handshake_price),
+        )
+        # The expected wait is computed inline: this loop is most of what a request costs.
+        now, mean_load, zone, weighted = (
+            self._now,
+            self._mean_load,
+            self._settings.zone,
+            self._settings.weighted,
+        )
+        draw, exp, log, power = self._rng.random, math.exp, math.log, math.pow
         for server in self._candidates():
             if server is None:
                 if best is not None:
-                    break  # one of those drawn will do
+                    break  # one of those drawn at random is suitable
                 continue
-            line = server.line
-            if each and (server.held(old) if server.ghosts else len(server.out)) >= server.limit.most:
+            member = server.member
+            if (
+                separate_limits
+                and (server.occupancy(oldest) if server.abandoned else len(server.out))
+                >= server.limit.max_in_flight
+            ):
                 continue
-            if job.ran and not self._fits(job, server):
+            if job.possibly_ran and not self._may_repeat_on(job, server):
                 continue
-            if server.started > cold_since and not self._cold_room(server):
+            if server.started_at > cold_since and not self._cold_server_has_room(server):
                 continue
             # Expected time to an answer, in usual answer times, as far as it is known. The less is known of a
-            # server's load, the more chance decides, in proportion to what its kind does: gateways that know
-            # as little as each other must not all pick the same server.
-            known, seen, name = exp((server.load_at - now) / STALE), server.seen, line.server
-            trust = seen / (seen + PACE_TRUST)
-            pace = server.pace * trust + server.kind.pace * (1.0 - trust)
-            # 5% either way, and a chance that is exponentially distributed.
-            chance = (0.95 + NEAR_ALIKE * draw()) * power(-log(1.0 - draw()), (1.0 - known) / 2)
-            held = len(server.out) + (server.load * known + mean * (1.0 - known))
+            # server's load, the more the choice is random, in proportion to the latency of its kind: gateways
+            # that know as little as each other must not all pick the same server.
+            load_weight, samples, name = (
+                exp((server.load_updated_at - now) / LOAD_STALE_TIME),
+                server.samples,
+                member.server,
+            )
+            own_weight = samples / (samples + LATENCY_PRIOR_SAMPLES)
+            latency = server.relative_latency * own_weight + server.kind.relative_latency * (1.0 - own_weight)
+            # 5% either way, and an exponentially distributed random factor.
+            random_factor = (0.95 + TIE_RANGE * draw()) * power(-log(1.0 - draw()), (1.0 - load_weight) / 2)
+            load = len(server.out) + (server.load * load_weight + mean_load * (1.0 - load_weight))
             if weighted:
-                held /= max(0.01, line.weight)
-            cost = pace * (1.0 + ERROR_WEIGHT * server.errors) * (1.0 + held) * chance
-            if name in shunned:
+                load /= max(0.01, member.weight)
+            cost = latency * (1.0 + ERROR_WEIGHT * server.error_rate) * (1.0 + load) * random_factor
+            if name in ejected:
                 if server.out or self._now < self._earliest_trial(job, server):
                     continue
-                if self._pooled is None:
-                    cost = 0.0  # its trial is due; hundreds of gateways try it without being made to
-            if line.zone != zone:
-                cost *= FAR
-            if server.started <= cold_since and (not server.idle or server.idle_at < kept):
-                cost *= new  # nobody is connected to one that has just come: what it may take is its limit
+                if self._shared_limit is None:
+                    cost = 0.0  # its trial is due; with hundreds of gateways, some try it without this
+            if member.zone != zone:
+                cost *= OTHER_ZONE_FACTOR
+            if server.started_at <= cold_since and (
+                not server.idle_connections or server.idle_updated_at < idle_since
+            ):
+                # Not for a cold server: no gateway is connected to it, and its rate is limited already.
+                cost *= new_connection_factor
             if name == avoid:
-                cost = (1.0 + cost) * AVOID
-            if best is None or cost < least:
-                best, least = server, cost
+                cost = (1.0 + cost) * SAME_SERVER_PENALTY
+            if best is None or cost < least_cost:
+                best, least_cost = server, cost
         return best
 
     def _candidates(self) -> Iterable[Server | None]:
-        """All servers; or some drawn by chance, None, and then all, for where none of those will do."""
-        near = self._near
-        if len(near) <= MANY:
-            return near
-        draw = self._random.random
-        return chain([near[int(draw() * len(near))] for _ in range(LOOK)], (None,), near)
-
-    def _fits(self, job: OpenRequest, server: Server) -> bool:
+        """All servers; of many, some drawn at random, then None, then all in case none of these will do."""
+        subset = self._subset
+        if len(subset) <= MANY:
+            return subset
+        draw = self._rng.random
+        return chain([subset[int(draw() * len(subset))] for _ in range(LOOK)], (None,), subset)
+
+    def _may_repeat_on(self, job: OpenRequest, server: Server) -> bool:
         """Rule 2: once an attempt may have run, a keyed request stays in its group and within its window."""
-        for line, sent in job.ran:
+        for earlier, sent in job.possibly_ran:
             if job.cls.effect is Effect.ONCE:
                 return False
             if job.cls.effect is Effect.KEYED:
-                # It may be written only when a connection has come up, and has to be there within the window.
-                if self._now - sent >= job.cls.key_memory - self._s.tick - self._s.limits.connect_timeout:
+                # It may only be written when a connection has been opened, and has to arrive within the
+                # window.
+                if (
+                    self._now - sent
+                    >= job.cls.key_memory - self._settings.tick - self._settings.limits.connect_timeout
+                ):
                     return False
-                if job.cls.group is Group.ZONE and line.zone != server.line.zone:
+                if job.cls.group is Group.ZONE and earlier.zone != server.member.zone:
                     return False
-                if job.cls.group is Group.CELL and line.cell != server.line.cell:
+                if job.cls.group is Group.CELL and earlier.cell != server.member.cell:
                     return False
         return True
 
-    def _shunned(self) -> dict[str, None]:
-        """The worst of those that are set aside, or silent for so long that they are about to be."""
-        if len(self._near) > MANY and self._now - self._aside_at < SUMS_KEPT:
-            return self._aside
-        since = self._now - SILENCE * (max(self._usual) or SECOND / 10)
+    def _ejected_servers(self) -> dict[str, None]:
+        """The worst of the servers that are ejected, or silent for so long that they are about to be."""
+        if len(self._subset) > MANY and self._now - self._ejected_at < CACHE_TIME:
+            return self._ejected
+        since = self._now - SILENCE_ANSWER_TIMES * (max(self._class_latency) or SECOND / 10)
         suspects = [
-            s for s in self._near
-            if s.aside or (s.out and s.answered_at < since and next(iter(s.out.values())) < since)
-        ]  # fmt: skip
-        self._aside, self._aside_at = {}, self._now
+            s
+            for s in self._subset
+            if s.ejected or (s.out and s.answered_at < since and next(iter(s.out.values())) < since)
+        ]
+        self._ejected, self._ejected_at = {}, self._now
         if not suspects:
-            return self._aside
-        suspects.sort(key=lambda s: (-s.errors, s.answered_at))
-        # A refused connect proves a server down, so there is no floor under the share of those set aside.
-        down = sum(s.errors >= 1.0 for s in suspects)
-        self._aside = {s.line.server: None for s in suspects[: max(down, int(ASIDE_MOST * len(self._near)))]}
-        return self._aside
+            return self._ejected
+        suspects.sort(key=lambda s: (-s.error_rate, s.answered_at))
+        # A refused connection proves a server unreachable, so the maximum share does not apply to such
+        # servers.
+        unreachable = sum(s.error_rate >= 1.0 for s in suspects)
+        self._ejected = {
+            s.member.server: None
+            for s in suspects[: max(unreachable, int(MAX_EJECTED_SHARE * len(self._subset)))]
+        }
+        return self._ejected
 
     @staticmethod
     def _earliest_trial(job: OpenRequest, server: Server) -> int:
-        """When a request may try a server that is set aside.
+        """When a request may try an ejected server.
 
         One that must not run twice tries at once only a server that refused connections, as nothing is lost
-        where it still does; any other only where no request that may be repeated has come to try it first.
+        where it still does; any other server only after requests that may be repeated had the time to try it
+        first.
         """
-        harmless = job.cls.effect is not Effect.ONCE or server.refused
-        return server.trial if harmless else server.trial + MEAN_SPAN
+        harmless = job.cls.effect is not Effect.ONCE or server.connect_refused
+        return server.next_trial_at if harmless else server.next_trial_at + AVERAGING_TIME
 
-    def _aside_span(self) -> int:
-        calls = ASIDE_CALLS * (1.0 if self._pooled is None else len(self._ready))
-        return int(min(MEAN_SPAN, calls * (max(self._usual) or SECOND / 10)))
+    def _ejection_time(self) -> int:
+        answer_times = EJECTION_ANSWER_TIMES * (1.0 if self._shared_limit is None else len(self._ready))
+        return int(min(AVERAGING_TIME, answer_times * (max(self._class_latency) or SECOND / 10)))
 
-    def _cold_room(self, server: Server) -> bool:
-        """Rule 4: a server that has just started gets this gateway's share of what it can surely take.
+    def _cold_server_has_room(self, server: Server) -> bool:
+        """Rule 4: a server that has just started gets this gateway's share of what it can certainly take.
 
-        That is judged by what warm servers of its kind answer, or of any kind where there is none.
+        That is derived from the answers of warm servers of its kind, or of any kind where there is none.
         """
-        safety = self._s.safety
-        started = server.started
-        if not self._cold(server):
+        safety = self._settings.safety
+        started_at = server.started_at
+        if not self._is_cold(server):
             return True
-        age = max(0, self._now - started) / max(1, safety.cold_span)
-        grown = safety.cold_from + (1 - safety.cold_from) * age
-        if self._now - self._warm_at > STALE:  # not for each cold server of each choice: that is quadratic
-            kinds, self._warm_at = [s.line.kind for s in self._ready if not self._cold(s)], self._now
-            self._warm_of = {kind: kinds.count(kind) for kind in self._kinds}
-        warm, rate = self._warm_of.get(server.line.kind, 0), server.kind.rate_at(self._now)
-        if not warm:
-            warm, rate = sum(self._warm_of.values()), sum(k.rate_at(self._now) for k in self._kinds.values())
-        pace = COLD_MARGIN * safety.fall_multiple * grown * rate / max(1, warm)
-        server.cold_left = min(1.0, server.cold_left + pace * (self._now - server.cold_at) / SECOND)
-        server.cold_at = self._now
-        return server.cold_left >= 1.0
-
-    def _cold(self, server: Server) -> bool:
-        started = server.started
-        return started > 0 and self._now - started < self._s.safety.cold_span
+        age = max(0, self._now - started_at) / max(1, safety.cold_span)
+        capacity_share = safety.cold_from + (1 - safety.cold_from) * age
+        # Counted once in a while: for each cold server of each choice, it would be quadratic.
+        if self._now - self._warm_counted_at > LOAD_STALE_TIME:
+            kinds, self._warm_counted_at = (
+                [s.member.kind for s in self._ready if not self._is_cold(s)],
+                self._now,
+            )
+            self._warm_counts = {kind: kinds.count(kind) for kind in self._kinds}
+        warm_servers, answer_rate = (
+            self._warm_counts.get(server.member.kind, 0),
+            server.kind.answer_rate_at(self._now),
+        )
+        if not warm_servers:
+            warm_servers, answer_rate = (
+                sum(self._warm_counts.values()),
+                sum(k.answer_rate_at(self._now) for k in self._kinds.values()),
+            )
+        tokens_per_second = (
+            COLD_MARGIN * safety.fall_multiple * capacity_share * answer_rate / max(1, warm_servers)
+        )
+        server.cold_tokens = min(
+            1.0, server.cold_tokens + tokens_per_second * (self._now - server.cold_refilled_at) / SECOND
+        )
+        server.cold_refilled_at = self._now
+        return server.cold_tokens >= 1.0
+
+    def _is_cold(self, server: Server) -> bool:
+        started_at = server.started_at
+        return started_at > 0 and self._now - started_at < self._settings.safety.cold_span
 
     # --- send -------------------------------------------------------------------------------------------
 
-    def _try(self, job: OpenRequest, avoid: str | None = None) -> None:
-        """Start the next attempt, or end the request where there is none to make."""
-        job.held = False
-        until_aim = job.aim_at - self._now - self._s.tick
-        if job.attempts - job.unsent >= self._s.limits.max_attempts or until_aim <= self._s.tick:
+    def _start_attempt(self, job: OpenRequest, avoid: str | None = None) -> None:
+        """Start the next attempt, or end the request where none is possible."""
+        job.awaiting_total = False
+        until_aim = job.aim_at - self._now - self._settings.tick
+        if (
+            job.attempts - job.unsent_attempts >= self._settings.limits.max_attempts
+            or until_aim <= self._settings.tick
+        ):
             self._end(job, Cause.ATTEMPTS if job.attempts else Cause.NO_TIME)
             return
-        server = self._choose(job, avoid)
+        server = self._choose_server(job, avoid)
         if server is None:
             self._end(job, Cause.ROOM)
             return
         self._send(job, server)
 
     def _send(self, job: OpenRequest, server: Server) -> None:
-        left, until_aim = job.deadline - self._now, job.aim_at - self._now - self._s.tick
+        left, until_aim = job.deadline - self._now, job.aim_at - self._now - self._settings.tick
         timeout = left if job.cls.late_worth > 0 else min(left, until_aim)
-        spent, most = job.attempts - job.unsent, self._s.limits.max_attempts
-        repeatable = job.cls.effect is not Effect.ONCE and spent + 1 < most
-        if repeatable and not job.ran and not job.live:  # a further one has what is left
-            if self._s.limits.may_cancel:
-                delay = max(int(until_aim * FIRST_SPLIT), self._hush(job))
+        attempts_used, max_attempts = job.attempts - job.unsent_attempts, self._settings.limits.max_attempts
+        repeatable = job.cls.effect is not Effect.ONCE and attempts_used + 1 < max_attempts
+        # A further attempt gets the time that remains.
+        if repeatable and not job.possibly_ran and not job.in_flight:
+            if self._settings.limits.may_cancel:
+                delay = max(int(until_aim * FIRST_ATTEMPT_SHARE), self._silence_time(job))
                 self._set_timer(delay, job.request.id, job.attempts)
             elif job.attempts == 0:
-                timeout = min(timeout, max(self._s.tick, int(until_aim * FIRST_SPLIT)))
+                timeout = min(timeout, max(self._settings.tick, int(until_aim * FIRST_ATTEMPT_SHARE)))
         if job.attempts == 0 and not job.request.sent:
             job.customer.ceiling -= job.request.units
-        job.customer.open += not job.live
-        self._out.append(Send(job.request.id, server.line.server, timeout))
-        self._accrue()
-        self._live += 1
+        job.customer.open_requests += not job.in_flight
+        self._actions.append(Send(job.request.id, server.member.server, timeout))
+        self._accrue_credit()
+        self._in_flight += 1
         server.out[(job.request.id, job.attempts)] = self._now
-        if server.aside:
-            server.trial = self._now + self._aside_span()
-        server.idle = max(0, server.idle - 1) if self._now - server.idle_at < KEPT_FOR else 0
-        server.cold_left -= 1.0
-        job.live[job.attempts] = (server, self._now)
+        if server.ejected:
+            server.next_trial_at = self._now + self._ejection_time()
+        server.idle_connections = (
+            max(0, server.idle_connections - 1)
+            if self._now - server.idle_updated_at < IDLE_CONNECTION_TIME
+            else 0
+        )
+        server.cold_tokens -= 1.0
+        job.in_flight[job.attempts] = (server, self._now)
         job.attempts += 1
 
-    def _hush(self, job: OpenRequest) -> int:
-        """Time without an answer that tells something of a server; less only of a client's short patience."""
-        return int(SILENCE * self._usual[job.request.cls])
+    def _silence_time(self, job: OpenRequest) -> int:
+        """Time without an answer that counts as silence; less may only reflect a client's short deadline."""
+        return int(SILENCE_ANSWER_TIMES * self._class_latency[job.request.cls])
 
     # --- outcome ----------------------------------------------------------------------------------------
 
     def _on_outcome(self, event: Outcome) -> None:
-        self._about = event.request
+        self._current_request = event.request
         server = self._servers.get(event.server)
         job = self._jobs.get(event.request)
-        self._accrue()
-        self._live = max(0, self._live - 1)
+        self._accrue_credit()
+        self._in_flight = max(0, self._in_flight - 1)
         if server is not None:
             server.out.pop((event.request, event.attempt), None)
-            self._pace_limit(server, event, job)
-            self._learn(server, event, job)
+            self._adapt_limit(server, event, job)
+            self._update_statistics(server, event, job)
         if job is None:
             return
-        live = job.live.pop(event.attempt, None)
-        if event.result is Result.NOT_SENT and job.unsent < self._s.limits.max_attempts:
-            job.unsent += 1  # its server was leaving, say; not without end where this gateway has no room
-        if event.final or not job.live:  # a second copy may be out still; the request is not
-            job.customer.open = max(0, job.customer.open - 1)
+        live = job.in_flight.pop(event.attempt, None)
+        if event.result is Result.NOT_SENT and job.unsent_attempts < self._settings.limits.max_attempts:
+            # Its server may be draining; limited, as this gateway may be unable to send at all.
+            job.unsent_attempts += 1
+        if event.final or not job.in_flight:  # a second copy may still be in flight, the request is not
+            job.customer.open_requests = max(0, job.customer.open_requests - 1)
         if event.final:
-            if event.result is Result.OK and self._s.units_settle and event.true_units is not None:
+            if event.result is Result.OK and self._settings.units_settle and event.true_units is not None:
                 units = event.true_units - job.request.units
                 job.customer.debt = max(0.0, job.customer.debt + units)
-                self._settle(job, units)
-            elif job.unsent == job.attempts:  # its client left before a byte went out
-                self._settle(job, -job.request.units)
+                self._correct_count(job, units)
+            elif job.unsent_attempts == job.attempts:  # the client disconnected before a byte was sent
+                self._correct_count(job, -job.request.units)
             del self._jobs[event.request]
             return
         if live is not None and not event.result.never_ran:
-            job.ran.append((live[0].line, live[1]))
-        if job.live:
+            job.possibly_ran.append((live[0].member, live[1]))
+        if job.in_flight:
             return
-        if event.result.never_ran or (job.cls.effect is not Effect.ONCE and self._retries >= 1):
+        if event.result.never_ran or (job.cls.effect is not Effect.ONCE and self._retry_tokens >= 1):
             if not event.result.never_ran:
-                self._retries -= 1
-            self._try(job, event.server)
+                self._retry_tokens -= 1
+            self._start_attempt(job, event.server)
         else:
             self._end(job, Cause.ATTEMPTS)
 
     def _on_expired(self, event: Expired) -> None:
-        """The client has left. What is out runs on; what was counted and never sent on is not used."""
+        """The client disconnected. Attempts in flight run on; units counted but never sent are refunded."""
         job = self._jobs.pop(event.request, None)
         if job is not None and job in job.customer.waits:
             job.customer.waits.remove(job)
         if job is not None and job.attempts == 0:
-            self._settle(job, -job.request.units)
-        elif job is not None and job.live:
-            job.customer.open = max(0, job.customer.open - 1)
+            self._correct_count(job, -job.request.units)
+        elif job is not None and job.in_flight:
+            job.customer.open_requests = max(0, job.customer.open_requests - 1)
 
-    def _pace_limit(self, server: Server, event: Outcome, job: OpenRequest | None) -> None:
-        """Overload: keep so little at a server that answers meet their aims; the rest is refused.
+    def _adapt_limit(self, server: Server, event: Outcome, job: OpenRequest | None) -> None:
+        """Overload control: limit the attempts at a server so that its answers meet their aims.
 
-        Guards against servers driven so far that they only work on what nobody waits for. What was given up
-        goes on waiting at the server, so it counts until the server has answered something sent later.
+        The rest is refused. This prevents servers from being overloaded until they only work on what no
+        client waits for. Abandoned attempts still wait at the server, so they count until the server has
+        answered an attempt sent later.
         """
         sent, limit = self._now - event.elapsed, server.limit
-        # A limit that is not reached is not moved up; one shared by all servers is not moved down either.
-        if self._pooled is not None:
-            used = self._live + 1 > max(1.0, self._allowed() / 2) or self._credit < self._longest / 2
+        # A limit that is not reached is not raised; one shared by all servers is not lowered either.
+        if self._shared_limit is not None:
+            used = self._in_flight + 1 > max(1.0, self._total_limit() / 2) or self._credit < self._max_aim / 2
         else:
-            used = len(server.out) + 1 >= limit.most / 2
+            used = len(server.out) + 1 >= limit.max_in_flight / 2
         late = event.result is Result.FULL
         if event.result in (Result.TIMEOUT, Result.CANCELLED):
-            old = self._now - int(GHOST_AIMS * self._longest)
-            server.ghosts = [ghost for ghost in server.ghosts if ghost > old] + [sent]
-            late = job is None or event.elapsed > LATE_PART * job.cls.aim
+            oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
+            server.abandoned = [sent_at for sent_at in server.abandoned if sent_at > oldest] + [sent]
+            late = job is None or event.elapsed > LATE_ANSWER_SHARE * job.cls.aim
         elif event.result is Result.OK:
-            server.ghosts = [ghost for ghost in server.ghosts if ghost > sent]
-            late = job is not None and event.elapsed > LATE_PART * job.cls.aim
+            server.abandoned = [sent_at for sent_at in server.abandoned if sent_at > sent]
+            late = job is not None and event.elapsed > LATE_ANSWER_SHARE * job.cls.aim
             if not late and used:
-                limit.most += LIMIT_RAISE / self._s.fleet_size / max(1.0, limit.most)
-        if late and sent >= limit.cut_at and (used or self._pooled is None):
-            limit.most = max(1.0 / self._s.fleet_size, limit.most * LIMIT_CUT)
-            limit.cut_at = self._now
-
-    def _learn(self, server: Server, event: Outcome, job: OpenRequest | None) -> None:
-        """Keep the server's pace, error share and load."""
+                limit.max_in_flight += (
+                    LIMIT_INCREASE / self._settings.fleet_size / max(1.0, limit.max_in_flight)
+                )
+        if late and sent >= limit.lowered_at and (used or self._shared_limit is None):
+            limit.max_in_flight = max(1.0 / self._settings.fleet_size, limit.max_in_flight * LIMIT_DECREASE)
+            limit.lowered_at = self._now
+
+    def _update_statistics(self, server: Server, event: Outcome, job: OpenRequest | None) -> None:
+        """Update the server's latency, error rate and load."""
         if event.load:
-            fields = dict(zip(self._s.report_fields, event.load, strict=False))
+            fields = dict(zip(self._settings.report_fields, event.load, strict=False))
             if "inflight" in fields:
                 server.load = max(0.0, fields["inflight"] - len(server.out))
             elif "util" in fields:
-                busy = min(0.8, max(0.0, fields["util"]))
-                server.load = busy / (1 - busy)
+                utilization = min(0.8, max(0.0, fields["util"]))
+                server.load = utilization / (1 - utilization)
             elif "qps" in fields:
-                # What comes in a second, times how long each stays, is what is there.
-                stay = server.pace * self._mean_answer / SECOND
-                server.load = max(0.0, fields["qps"] * stay - len(server.out))
+                # Arrivals per second times the time that each stays is the number present (Little's law).
+                time_in_server = server.relative_latency * self._mean_latency / SECOND
+                server.load = max(0.0, fields["qps"] * time_in_server - len(server.out))
             if not fields.keys().isdisjoint(LOAD_FIELDS):
-                server.load_at = self._now
-                self._mean_load += SMOOTH * (server.load - self._mean_load)
-        refused_before = server.refused
-        server.refused = event.result is Result.CONNECT_FAILED or (
-            server.refused and event.result in (Result.NOT_SENT, Result.TIMEOUT, Result.CANCELLED)
+                server.load_updated_at = self._now
+                self._mean_load += SMOOTHING * (server.load - self._mean_load)
+        refused_before = server.connect_refused
+        server.connect_refused = event.result is Result.CONNECT_FAILED or (
+            server.connect_refused and event.result in (Result.NOT_SENT, Result.TIMEOUT, Result.CANCELLED)
         )
         if event.result in (Result.OK, Result.ERROR, Result.FULL):
             server.answered_at = self._now
-            server.idle, server.idle_at = server.idle + 1, self._now
-        usual = self._usual[job.request.cls] or float(event.elapsed) if job is not None else 0.0
-        given_up = event.result in (Result.TIMEOUT, Result.CANCELLED)
-        if usual and (event.result is Result.OK or (given_up and event.elapsed > server.pace * usual)):
-            # What was given up would have taken longer still: a kind too slow for its load must show it.
-            server.count_pace(event.elapsed / usual, event.result is Result.OK, self._now)
+            server.idle_connections, server.idle_updated_at = server.idle_connections + 1, self._now
+        usual = self._class_latency[job.request.cls] or float(event.elapsed) if job is not None else 0.0
+        abandoned = event.result in (Result.TIMEOUT, Result.CANCELLED)
+        if usual and (
+            event.result is Result.OK or (abandoned and event.elapsed > server.relative_latency * usual)
+        ):
+            # An abandoned attempt would have taken longer still: a kind that is too slow for its load must
+            # show it.
+            server.record_latency(event.elapsed / usual, event.result is Result.OK, self._now)
         if event.result is Result.OK:
-            # A refused connect had proved it down, and now it is up.
-            server.errors = 0.0 if refused_before else server.errors * (1 - SMOOTH)
-            server.aside = server.aside and server.errors > ERROR_LIMIT
-            self._mean_answer += PACE_SMOOTH * (event.elapsed - self._mean_answer)
+            # A refused connection had proved it unreachable, and now it is up.
+            server.error_rate = 0.0 if refused_before else server.error_rate * (1 - SMOOTHING)
+            server.ejected = server.ejected and server.error_rate > EJECT_ERROR_RATE
+            self._mean_latency += SLOW_SMOOTHING * (event.elapsed - self._mean_latency)
             if job is not None:
-                self._usual[job.request.cls] = usual + PACE_SMOOTH * (event.elapsed - usual)
+                self._class_latency[job.request.cls] = usual + SLOW_SMOOTHING * (event.elapsed - usual)
         elif event.result in (Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
-            server.errors += (1 - server.errors) * (1.0 if event.result is Result.CONNECT_FAILED else SMOOTH)
-            if server.errors > ERROR_LIMIT:
-                server.put_aside(self._now, self._aside_span())
+            server.error_rate += (1 - server.error_rate) * (
+                1.0 if event.result is Result.CONNECT_FAILED else SMOOTHING
+            )
+            if server.error_rate > EJECT_ERROR_RATE:
+                server.eject(self._now, self._ejection_time())
         elif event.result is Result.TIMEOUT:
-            hushed = job is None or event.elapsed >= self._hush(job)
-            if hushed and server.silent(self._now, self._now - event.elapsed):
-                server.put_aside(self._now, self._aside_span())
+            silent = job is None or event.elapsed >= self._silence_time(job)
+            if silent and server.is_silent(self._now, self._now - event.elapsed):
+                server.eject(self._now, self._ejection_time())
         elif event.result is Result.FULL:
-            server.load, server.load_at = server.load + 4, self._now
+            server.load, server.load_updated_at = server.load + 4, self._now
 
     def _on_timer(self, event: Timer) -> None:
         if event.token == WATCH_TOKEN:
-            self._out.append(Watch(True))
+            self._actions.append(Watch(True))
             return
-        request, attempt = self._tokens.pop(event.token, (-1, None))
+        request, attempt = self._timers.pop(event.token, (-1, None))
         job = self._jobs.get(request)
         if job is None:
             return
-        self._about = request
-        if attempt == WAIT_OVER:
+        self._current_request = request
+        if attempt == CEILING_WAIT_TIMER:
             if job in job.customer.waits:
-                self._refill(job.customer)
+                self._refill_ceiling(job.customer)
                 job.customer.waits.remove(job)
-                if self._may_pass(job, self._s.plans[job.request.plan]):
-                    self._try(job)
+                if self._within_ceiling(job, self._settings.plans[job.request.plan]):
+                    self._start_attempt(job)
                 else:
                     self._end(job, Cause.CEILING)
-                self._go_on(job.customer)
+                self._resume_waiting(job.customer)
             return
         if attempt is None:
-            # It means nothing to a request that has its total: its attempt has only just begun.
-            if job.held:
-                self._decide_alone(job, self._s.plans[job.request.plan])
+            # Nothing to do for a request that has its total: its attempt has only just begun.
+            if job.awaiting_total:
+                self._decide_locally(job, self._settings.plans[job.request.plan])
             return
-        server, sent = job.live.get(attempt, (None, 0))
-        # Silence, not slowness: waiting longer on a server that answers others is cheaper than a repeat.
-        if server is None or self._retries < 1 or self._pooled is not None:
+        server, sent = job.in_flight.get(attempt, (None, 0))
+        # Silence, not slowness: waiting longer for a server that answers others is cheaper than a repeat.
+        if server is None or self._retry_tokens < 1 or self._shared_limit is not None:
             return
-        if server.silent(self._now, sent):
-            server.put_aside(self._now, self._aside_span())
-            if self._s.limits.second_copies and job.cls.effect is Effect.REPEATABLE:
-                # It may only be slow, and what runs there goes on in any case: the first answer counts.
-                other = self._choose(job, server.line.server)
+        if server.is_silent(self._now, sent):
+            server.eject(self._now, self._ejection_time())
+            if self._settings.limits.second_copies and job.cls.effect is Effect.REPEATABLE:
+                # It may only be slow, and the attempt runs on there in any case: the first answer counts.
+                other = self._choose_server(job, server.member.server)
                 if other is not None:
-                    self._retries -= 1
+                    self._retry_tokens -= 1
                     self._send(job, other)
-            elif self._s.limits.may_cancel:
-                self._out.append(Cancel(job.request.id, attempt))
+            elif self._settings.limits.may_cancel:
+                self._actions.append(Cancel(job.request.id, attempt))
 
     def _set_timer(self, delay: int, request: int, attempt: int | None) -> None:
-        self._token = (self._token + 1) & 0xFFFFFFFF
-        self._tokens[self._token] = (request, attempt)
-        self._out.append(SetTimer(delay, self._token))
+        self._last_timer_token = (self._last_timer_token + 1) & 0xFFFFFFFF
+        self._timers[self._last_timer_token] = (request, attempt)
+        self._actions.append(SetTimer(delay, self._last_timer_token))
 
     # --- answer -----------------------------------------------------------------------------------------
 
     def _end(self, job: OpenRequest, cause: Cause) -> None:
-        """The one final answer where no attempt gave it. Rules 1 and 2 meet here."""
-        for attempt in job.live:
-            if self._s.limits.may_cancel:
-                self._out.append(Cancel(job.request.id, attempt))
-        harmless = not job.live and (not job.ran or job.cls.effect is Effect.REPEATABLE)
+        """The one final answer where no attempt gave it. Rules 1 and 2 are both enforced here."""
+        for attempt in job.in_flight:
+            if self._settings.limits.may_cancel:
+                self._actions.append(Cancel(job.request.id, attempt))
+        harmless = not job.in_flight and (not job.possibly_ran or job.cls.effect is Effect.REPEATABLE)
         if not job.attempts:
-            if not job.held:
+            if not job.awaiting_total:
                 job.customer.debt = max(0.0, job.customer.debt - job.request.units)
-            self._settle(job, -job.request.units)
+            self._correct_count(job, -job.request.units)
         if harmless:
-            self._out.append(Refuse(job.request.id, self._retry_after(job), cause))
+            self._actions.append(Refuse(job.request.id, self._retry_after(job), cause))
         else:
-            self._out.append(Fail(job.request.id, cause))
+            self._actions.append(Fail(job.request.id, cause))
         if job in job.customer.waits:
             job.customer.waits.remove(job)
         del self._jobs[job.request.id]
 
     def _retry_after(self, job: OpenRequest) -> int:
-        """About one unit's refill, or until these units fit, and never past the end of the window."""
-        plan = self._s.plans[job.request.plan]
+        """Time to refill about one unit, or until these units fit, but never past the end of the window."""
+        plan = self._settings.plans[job.request.plan]
         if plan.rate <= 0:
-            return min(self._s.limits.max_retry_after, job.cls.aim)
-        _, length = window(job.request.customer, plan, self._now + self._shift)
+            return min(self._settings.limits.max_retry_after, job.cls.aim)
+        _, length = window(job.request.customer, plan, self._now + self._clock_shift)
         missing = max(1.0, job.customer.debt + job.request.units - plan.burst)
-        return min(length, self._s.limits.max_retry_after, int(missing / plan.rate * SECOND))
+        return min(length, self._settings.limits.max_retry_after, int(missing / plan.rate * SECOND))
 
     # --- the list of servers ----------------------------------------------------------------------------
 
     def _on_members(self, event: Members) -> None:
         if event.kind is ListKind.FAILED:
-            # Asked again well before this gateway counts as told; not at once, since all may have failed.
-            delay = self._s.safety.ask_within // WATCH_AGAIN
-            self._out.append(SetTimer(self._random.randint(delay, 2 * delay), WATCH_TOKEN))
+            # Called again well within the time in which the list must be asked for; not at once, since the
+            # calls of all gateways may have failed.
+            delay = self._settings.safety.ask_within // LIST_RETRY_DIVISOR
+            self._actions.append(SetTimer(self._rng.randint(delay, 2 * delay), WATCH_TOKEN))
             return
-        if event.kind is ListKind.CACHED and self._s.ask_for_list:
-            self._out.append(Watch(True))
-        named = {line.server: None for line in event.members}
-        if not self._servers and self._s.fleet_size > LIMIT_START:
-            # One gateway's part of a server's limit is a fraction of an attempt, and little is seen of each.
-            # Limits of their own would let one attempt out at every server, by every gateway.
-            self._pooled = AttemptLimit(LIMIT_START / self._s.fleet_size, self._now)
-            if self._s.fleet_size > len(named):
-                self._seldom, self._calling = True, 0.5
+        if event.kind is ListKind.CACHED and self._settings.ask_for_list:
+            self._actions.append(Watch(True))
+        named = {member.server: None for member in event.members}
+        if not self._servers and self._settings.fleet_size > INITIAL_LIMIT:
+            # One gateway's part of a server's limit is a fraction of an attempt, and it sees little of each
+            # server. Separate limits would let every gateway have one attempt in flight at every server.
+            self._shared_limit = AttemptLimit(INITIAL_LIMIT / self._settings.fleet_size, self._now)
+            if self._settings.fleet_size > len(named):
+                self._sparse_customers, self._call_share = True, 0.5
         if event.kind is not ListKind.CHANGES:
             for name in [n for n in self._servers if n not in named]:
                 del self._servers[name]
-        for line in event.members:
-            if line.state is State.GONE:
-                self._servers.pop(line.server, None)
-            elif line.server in self._servers:
-                server = self._servers[line.server]
-                if line.started_at != server.line.started_at:
-                    server.restarted(line, self._now, self._shift)
-                    server.cold_left, server.cold_at = self._random.random(), self._now
-                server.line = line
+        for member in event.members:
+            if member.state is State.GONE:
+                self._servers.pop(member.server, None)
+            elif member.server in self._servers:
+                server = self._servers[member.server]
+                if member.started_at != server.member.started_at:
+                    server.reset_after_restart(member, self._now, self._clock_shift)
+                    server.cold_tokens, server.cold_refilled_at = self._rng.random(), self._now
+                server.member = member
             else:
-                limit = self._pooled or AttemptLimit(LIMIT_START / self._s.fleet_size, self._now)
-                kind = self._kinds.setdefault(line.kind, ServerKind(self._now))
-                server = self._servers[line.server] = Server(line, self._now, limit, kind, self._shift)
-                # Chance, not nothing: of hundreds of gateways, each with a small share, some send at once.
-                server.cold_left = self._random.random()
-            if line.state is not State.GONE and event.kind is not ListKind.CACHED:
-                self._servers[line.server].listed_at = self._now
-        self._list()
-
-    def _list(self) -> None:
-        """The servers that this gateway sends to. Of a zone in part use it keeps to the same ones."""
-        self._accrue()
-        parts, each = self._zones, b"%d/%%b" % self._s.index
+                limit = self._shared_limit or AttemptLimit(
+                    INITIAL_LIMIT / self._settings.fleet_size, self._now
+                )
+                kind = self._kinds.setdefault(member.kind, ServerKind(self._now))
+                server = self._servers[member.server] = Server(
+                    member, self._now, limit, kind, self._clock_shift
+                )
+                # Random, not zero: of hundreds of gateways, each with a small share, some send at once.
+                server.cold_tokens = self._rng.random()
+            if member.state is not State.GONE and event.kind is not ListKind.CACHED:
+                self._servers[member.server].listed_at = self._now
+        self._update_ready()
+
+    def _update_ready(self) -> None:
+        """Rebuild the lists of ready servers. Of a zone in partial use, it keeps to the same servers."""
+        self._accrue_credit()
+        parts, name_format = self._zone_parts, b"%d/%%b" % self._settings.index
         self._ready = [
-            s for s in self._servers.values() if s.line.state is State.READY
-            and (not parts or crc32(each % s.line.server.encode()) < parts.get(s.line.zone, 1.0) * 2**32)
-        ]  # fmt: skip
-        # In large fleets each gateway keeps to a few servers, by its number, and so meets them often enough.
-        self._near, self._warm_at = self._ready, self._now - NAME_LIFE
-        self._sums_at = self._aside_at = self._now - SUMS_KEPT
-        if self._s.fleet_size > len(self._ready) > SAMPLE:
-            order = sorted(self._ready, key=lambda s: s.line.server)
-            first = self._s.index * SAMPLE % len(order)
-            self._near = (order + order)[first : first + SAMPLE]
+            s
+            for s in self._servers.values()
+            if s.member.state is State.READY
+            and (
+                not parts
+                or crc32(name_format % s.member.server.encode()) < parts.get(s.member.zone, 1.0) * 2**32
+            )
+        ]
+        # In large fleets each gateway keeps to a few servers, by its index, and so uses each often enough.
+        self._subset, self._warm_counted_at = self._ready, self._now - NAME_LIFE
+        self._room_sums_at = self._ejected_at = self._now - CACHE_TIME
+        if self._settings.fleet_size > len(self._ready) > SUBSET_SIZE:
+            order = sorted(self._ready, key=lambda s: s.member.server)
+            first = self._settings.index * SUBSET_SIZE % len(order)
+            self._subset = (order + order)[first : first + SUBSET_SIZE]
--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -1,6 +1,6 @@
-"""What the decision module remembers: customers, servers and the requests that are owed an answer.
+"""State of the decision module: customers, servers and open requests.
 
-Plain records with the arithmetic that is theirs alone. What is decided by them is in `mothgap/rules.py`.
+Plain records with the arithmetic that concerns them alone. The decisions are made in `mothgap/rules.py`.
 """
 
 from __future__ import annotations
@@ -10,192 +10,243 @@
 from mothgap.interface import Member, Request, RequestClass
 from mothgap.names import NAME_LIFE, SECOND
 
-CLOCKS_AGREE = 60 * SECOND  # microseconds; news of a start is never as late as this
-EDGE_MOST = 0.5  # of the burst that is kept free for what other gateways have not told yet
-OTHERS_DOUBT = 2.0  # own units seen in totals at which they tell as much of the others' part as an even split
-PACE_SMOOTH = 0.03  # the same for answer times: work varies as much as its mean, so some thirty must count
-MEAN_SPAN = 5 * SECOND  # microseconds; over which a server's answers a second are judged: tens of answers
+# Microseconds; news of a server's start never arrives later than this.
+CLOCK_TOLERANCE = 60 * SECOND
+# Maximum share of the burst that is kept free for units that other gateways have not reported yet.
+MAX_EDGE_RESERVE = 0.5
+# Own units in totals at which totals weigh as much as the assumption of an even split between gateways.
+OTHERS_PRIOR_UNITS = 2.0
+# Weight of a new sample in a slow moving average, as of answer times: work varies as much as its mean, so
+# about thirty samples must count.
+SLOW_SMOOTHING = 0.03
+# Microseconds over which a server's answer rate is averaged: tens of answers.
+AVERAGING_TIME = 5 * SECOND
 
 
 class Customer:
-    """What this gateway knows of one customer's use. `debt` is units taken and not yet refilled, over all."""
+    """What this gateway knows of one customer's use of its quota, a token bucket of `burst` units.
+
+    `debt` is the number of units taken and not yet refilled, over all gateways.
+    """
 
     __slots__ = (
-        "at",
-        "backlog",
+        "updated_at",
+        "mean_pending",
         "burst",
         "ceiling",
         "debt",
         "excess",
-        "fill",
+        "ceiling_refill_rate",
         "full",
-        "guess",
-        "here_at",
-        "limit_at",
-        "looks",
-        "lost",
-        "open",
-        "over",
-        "own",
-        "owed",
-        "rate",
-        "seen_others",
-        "seen_own",
-        "short_at",
+        "estimated_other_units",
+        "last_request_at",
+        "ceiling_refill_mark",
+        "recent_decisions",
+        "unconfirmed",
+        "open_requests",
+        "recent_refusals",
+        "own_total",
+        "pending",
+        "quota_rate",
+        "recent_others",
+        "recent_own",
+        "last_no_room_at",
         "total",
         "waits",
-        "window",
+        "count_name",
     )
 
     def __init__(self, burst: float, now: int) -> None:
-        self.burst, self.debt, self.at = burst, 0.0, now
-        self.window, self.total, self.own = -1, 0.0, 0.0  # window number, last total in it, own adds in it
-        self.looks, self.over = 0.0, 0.0  # decisions by total, and refusals among them, fading
+        self.burst, self.debt, self.updated_at = burst, 0.0, now
+        # Current window's count, its last total, own units in it.
+        self.count_name, self.total, self.own_total = -1, 0.0, 0.0
+        # Decisions by total and refusals among them, decaying.
+        self.recent_decisions, self.recent_refusals = 0.0, 0.0
         self.excess = 0.0  # units in the window's totals that found no room in the burst
-        self.guess = 0.0  # part of `debt` that stands for others until the next total
-        self.seen_own, self.seen_others = 0.0, 0.0  # units that totals held, by whom, fading
-        self.lost = 0.0  # adds in the window whose answer never came: the next total holds them
-        self.owed = 0.0  # units that passed without a call: to be added with the next one
-        self.backlog = 0.0  # running mean of what was owed when calls were made
-        self.ceiling, self.limit_at = 0.0, 0.0  # what the ceiling allows, and where on `_filled` that was
-        self.rate = 0.0  # of the quota
-        self.fill, self.full = 0.0, 0.0  # what an even share of it refills a second, and holds
-        self.here_at = now - NAME_LIFE  # when a request of it last came here
-        self.short_at = now - NAME_LIFE  # when it was last found to have no room
-        self.open = 0
-        self.waits: list[OpenRequest] = []  # requests that wait for a part of the ceiling from other gateways
-
-    def take(self, units: float) -> None:
-        """The use of others, or what they have taken back: first of what was on top of the burst.
-
-        What goes beyond a quota takes nothing from it. Guards against a debt that stays too high for as long
-        as the customer asks for all that is refilled; lets through too much where takebacks are lost.
+        self.estimated_other_units = 0.0  # part of `debt` that stands for other gateways until the next total
+        self.recent_own, self.recent_others = 0.0, 0.0  # own and others' units in totals, decaying
+        self.unconfirmed = 0.0  # increments in the window whose answer never came: the next total shows them
+        self.pending = 0.0  # units that passed without a call, to be added with the next one
+        self.mean_pending = 0.0  # moving average of `pending` when calls were made
+        # Units left in this gateway's share of the ceiling, and the value of `Gateway._ceiling_refilled` at
+        # its last refill.
+        self.ceiling, self.ceiling_refill_mark = 0.0, 0.0
+        self.quota_rate = 0.0  # of the quota, units a second
+        # Of an even share of the ceiling; the rate in units a second.
+        self.ceiling_refill_rate, self.full = 0.0, 0.0
+        self.last_request_at = now - NAME_LIFE  # when a request of the customer last arrived here
+        self.last_no_room_at = now - NAME_LIFE  # when it was last found to have no room
+        self.open_requests = 0
+        self.waits: list[OpenRequest] = []  # waiting for ceiling units from other gateways
+
+    def apply_others(self, units: float) -> None:
+        """Apply units that other gateways have added, or refunded if negative: these reduce the excess first.
+
+        Units beyond the burst go to the excess and not to the debt. This prevents a debt that stays too high
+        for as long as the customer asks for all that is refilled; it lets too much through where refunds are
+        lost.
         """
-        back = min(self.excess, max(0.0, -units))
-        debt = max(0.0, self.debt + units + back)
+        refund = min(self.excess, max(0.0, -units))
+        debt = max(0.0, self.debt + units + refund)
         self.debt = min(debt, self.burst)
-        self.excess += debt - self.debt - back
+        self.excess += debt - self.debt - refund
 
-    def fits(self, units: float, spread: int, keep: float, sure: float = 0.0) -> bool:
-        """There is room, but for `sure` units of the debt, beside what other gateways owe the counter.
+    def has_room(self, units: float, spread: int, reserve: float, uncertain: float = 0.0) -> bool:
+        """Whether there is room beside the units that other gateways have not added to the count yet.
 
-        They are taken to owe as this one does. Guards a quota at its edge, where one unit of it unseen is one
-        too many; a customer that is always there loses nothing, one that comes in bursts a part of each.
+        `uncertain` units of the debt are left out. Other gateways are assumed to have as much pending as this
+        one. This protects a quota at its limit, where one unseen unit is one too many; a customer that is
+        always active loses nothing, one that comes in bursts loses a part of each.
         """
-        edge = min(EDGE_MOST * self.burst, self.backlog * self.others(spread) + keep)
-        return self.debt - sure + units + edge <= max(self.burst, units + edge)
+        edge = min(
+            MAX_EDGE_RESERVE * self.burst, self.mean_pending * self.others_per_own_unit(spread) + reserve
+        )
+        return self.debt - uncertain + units + edge <= max(self.burst, units + edge)
 
-    def others(self, spread: int) -> float:
-        """Units that others let through for each one here: as totals told, else as much at each gateway."""
-        told = max(0.0, self.seen_others) + OTHERS_DOUBT * max(0, spread - 1)
-        return told / (max(0.0, self.seen_own) + OTHERS_DOUBT)
+    def others_per_own_unit(self, spread: int) -> float:
+        """Units that other gateways let through per unit here: from totals, with an even split as prior."""
+        others = max(0.0, self.recent_others) + OTHERS_PRIOR_UNITS * max(0, spread - 1)
+        return others / (max(0.0, self.recent_own) + OTHERS_PRIOR_UNITS)
 
 
 class AttemptLimit:
-    """How many attempts this gateway may have at a server; a fraction of one in large fleets."""
+    """Adaptive limit on the attempts that this gateway may have in flight at a server.
+
+    It is a fraction of an attempt in large fleets.
+    """
 
-    __slots__ = ("cut_at", "most")
+    __slots__ = ("lowered_at", "max_in_flight")
 
-    def __init__(self, most: float, now: int) -> None:
-        self.most, self.cut_at = most, now  # and when it was last cut
+    def __init__(self, max_in_flight: float, now: int) -> None:
+        self.max_in_flight, self.lowered_at = max_in_flight, now  # when it was last lowered
 
 
 class ServerKind:
-    """What servers of one kind share: a gateway of a large fleet meets each of them too seldom."""
+    """Statistics that servers of one kind share: a gateway of a large fleet uses each server too seldom."""
 
-    __slots__ = ("at", "pace", "rate", "seen")
+    __slots__ = ("rate_updated_at", "relative_latency", "answer_rate", "samples")
 
     def __init__(self, now: int) -> None:
-        self.pace, self.seen = 1.0, 0  # answer time against the usual of the class, and answers behind it
-        self.rate, self.at = 0.0, now  # answers a second from all of them to this gateway, fading
+        # Answer time relative to the usual one of the class, and the answers behind it.
+        self.relative_latency, self.samples = 1.0, 0
+        # Answers a second from all of them to this gateway, decaying.
+        self.answer_rate, self.rate_updated_at = 0.0, now
 
-    def rate_at(self, now: int) -> float:
-        """Answers a second over about the last MEAN_SPAN."""
-        return self.rate * math.exp((self.at - now) / MEAN_SPAN)
+    def answer_rate_at(self, now: int) -> float:
+        """Answers a second, averaged over about the last AVERAGING_TIME."""
+        return self.answer_rate * math.exp((self.rate_updated_at - now) / AVERAGING_TIME)
 
 
-def _started(line: Member, now: int, shift: int) -> int:
-    """When a server started, on this gateway's clock; 0: long past. It can't lie in the future."""
-    return min(max(1, line.started_at - shift), now) if line.started_at else 0
+def _local_start_time(member: Member, now: int, clock_shift: int) -> int:
+    """A server's start time on this gateway's clock, never in the future; 0: long past."""
+    return min(max(1, member.started_at - clock_shift), now) if member.started_at else 0
 
 
 class Server:
     """What this gateway knows of one server."""
 
-    __slots__ = ("answered_at", "aside", "cold_at", "cold_left", "errors", "ghosts", "idle", "idle_at",
-                 "kind", "limit", "line", "listed_at", "load", "load_at", "out", "pace", "refused", "seen",
-                 "started", "trial")  # fmt: skip
-
-    def __init__(self, line: Member, now: int, limit: AttemptLimit, kind: ServerKind, shift: int = 0) -> None:
-        """`shift`: how far the clock that starts are told by is ahead of this gateway's."""
-        self.line, self.limit, self.kind = line, limit, kind
-        self.listed_at: int | None = None  # when its line was last told as it stood then; None: perhaps stale
-        self.started = _started(line, now, shift)  # on this gateway's clock; 0: long past
-        self.ghosts: list[int] = []  # when attempts were sent that were given up, but may still wait there
-        self.out: dict[tuple[int, int], int] = {}  # (request, attempt) -> sent at
-        self.pace, self.seen = 1.0, 0  # answer time against the usual of the class, and answers behind it
-        self.errors = 0.0
-        self.refused = False  # the last connection to it did not come up
-        self.answered_at = now
-        self.idle, self.idle_at = 0, now  # connections that carry nothing, as far as answers tell; when last
-        self.aside, self.trial = False, 0  # set aside; when it may be tried next
-        self.load, self.load_at = 0.0, now
-        self.cold_left, self.cold_at = 0.0, now
-
-    def restarted(self, line: Member, now: int, shift: int = 0) -> None:
-        """It has started again: nothing that was seen of it holds any more.
+    __slots__ = (
+        "answered_at",
+        "ejected",
+        "cold_refilled_at",
+        "cold_tokens",
+        "error_rate",
+        "abandoned",
+        "idle_connections",
+        "idle_updated_at",
+        "kind",
+        "limit",
+        "member",
+        "listed_at",
+        "load",
+        "load_updated_at",
+        "out",
+        "relative_latency",
+        "connect_refused",
+        "samples",
+        "started_at",
+        "next_trial_at",
+    )
 
-        The list tells the start by another machine's wall clock, which may have been stepped, as may have
-        been this one's before this process began. It can't lie in the future, nor before the list last told
-        of the start that preceded it: then the clocks disagree, and it counts as now.
+    def __init__(
+        self, member: Member, now: int, limit: AttemptLimit, kind: ServerKind, clock_shift: int = 0
+    ) -> None:
+        """`clock_shift`: how far the shared clock, used for start times, is ahead of this gateway's."""
+        self.member, self.limit, self.kind = member, limit, kind
+        self.listed_at: int | None = None  # when the list last confirmed its entry; None: perhaps stale
+        self.started_at = _local_start_time(member, now, clock_shift)  # on this gateway's clock; 0: long past
+        self.abandoned: list[int] = []  # send times of abandoned attempts, which may still wait there
+        self.out: dict[tuple[int, int], int] = {}  # (request, attempt) -> send time
+        # Answer time relative to the usual one of the class, and the answers behind it.
+        self.relative_latency, self.samples = 1.0, 0
+        self.error_rate = 0.0
+        self.connect_refused = False  # the last connection to it could not be opened
+        self.answered_at = now
+        self.idle_connections, self.idle_updated_at = 0, now  # as far as answers tell; when last updated
+        self.ejected, self.next_trial_at = False, 0  # when ejected: the time from which it may be tried
+        self.load, self.load_updated_at = 0.0, now
+        self.cold_tokens, self.cold_refilled_at = 0.0, now
+
+    def reset_after_restart(self, member: Member, now: int, clock_shift: int = 0) -> None:
+        """The server has restarted: discard what was observed of it.
+
+        The list gives the start time by another machine's wall clock, which may have been stepped, as may
+        this machine's clock before this process began. The start can't lie in the future, nor before the time
+        at which the list last confirmed the previous start. Where it does, the clocks disagree, and the start
+        counts as now.
         """
-        self.aside, self.errors, self.pace, self.seen = False, 0.0, 1.0, 0
-        self.ghosts = []
-        self.started = _started(line, now, shift)
-        if self.listed_at is not None and 0 < self.started < self.listed_at - CLOCKS_AGREE:
-            self.started = now
-
-    def told_by(self, now: int, shift: int) -> None:
-        """The clock that starts are told by is known anew: it may be younger than it seemed, never older."""
-        self.started = max(self.started, _started(self.line, now, shift))
-
-    def held(self, since: int) -> int:
-        """Attempts that are out, or given up but perhaps still there if sent later than `since`."""
-        return len(self.out) + (sum(ghost > since for ghost in self.ghosts) if self.ghosts else 0)
-
-    def silent(self, now: int, since: int) -> bool:
-        """No answer of any kind since then."""
+        self.ejected, self.error_rate, self.relative_latency, self.samples = False, 0.0, 1.0, 0
+        self.abandoned = []
+        self.started_at = _local_start_time(member, now, clock_shift)
+        if self.listed_at is not None and 0 < self.started_at < self.listed_at - CLOCK_TOLERANCE:
+            self.started_at = now
+
+    def update_clock_shift(self, now: int, clock_shift: int) -> None:
+        """Apply a new offset of the shared clock: the server may be younger than assumed, never older."""
+        self.started_at = max(self.started_at, _local_start_time(self.member, now, clock_shift))
+
+    def occupancy(self, since: int) -> int:
+        """Attempts in flight, plus abandoned ones sent later than `since`, which may still be there."""
+        return len(self.out) + (sum(sent_at > since for sent_at in self.abandoned) if self.abandoned else 0)
+
+    def is_silent(self, now: int, since: int) -> bool:
+        """Whether no answer of any kind has arrived since then."""
         return self.answered_at <= since < now
 
-    def put_aside(self, now: int, span: int) -> None:
-        """Leave it alone, but for one trial after each span."""
-        self.aside, self.trial = True, now + span
-
-    def count_pace(self, pace: float, answered: bool, now: int) -> None:
-        """One more answer time, or a part of one, of this server and its kind."""
-        for known in (self, self.kind):
-            known.seen += 1
-            known.pace += max(PACE_SMOOTH, 1.0 / known.seen) * (pace - known.pace)
+    def eject(self, now: int, duration: int) -> None:
+        """Send it nothing more, but for one trial after each such duration."""
+        self.ejected, self.next_trial_at = True, now + duration
+
+    def record_latency(self, relative_latency: float, answered: bool, now: int) -> None:
+        """Record an answer time, or the part of one that has passed, for this server and its kind."""
+        for stats in (self, self.kind):
+            stats.samples += 1
+            stats.relative_latency += max(SLOW_SMOOTHING, 1.0 / stats.samples) * (
+                relative_latency - stats.relative_latency
+            )
         if answered:
-            self.kind.rate, self.kind.at = self.kind.rate_at(now) + SECOND / MEAN_SPAN, now
+            self.kind.answer_rate, self.kind.rate_updated_at = (
+                self.kind.answer_rate_at(now) + SECOND / AVERAGING_TIME,
+                now,
+            )
 
 
 class OpenRequest:
-    """A request that is owed its final answer."""
+    """A request without a final answer yet, in `mothgap/rules.py` always called `job`."""
 
     __slots__ = (
-        "added",
+        "counted_units",
         "aim_at",
-        "asks",
+        "peers_asked",
         "attempts",
         "cls",
         "customer",
         "deadline",
-        "held",
-        "live",
-        "ran",
+        "awaiting_total",
+        "in_flight",
+        "possibly_ran",
         "request",
-        "unsent",
+        "unsent_attempts",
         "unsure",
     )
 
@@ -203,14 +254,14 @@
         self.request, self.cls, self.customer = request, cls, customer
         self.deadline, self.aim_at = now + request.time_left, now + min(cls.aim, request.time_left)
         self.attempts = 0
-        self.live: dict[int, tuple[Server, int]] = {}  # attempts that are out: server and when sent
-        self.ran: list[tuple[Member, int]] = []  # attempts that may have run: where and when sent
-        self.held = True  # waiting for its total
-        self.added = 0.0  # what was added to the count for it
-        self.asks = 0  # gateways asked for a part of the ceiling
-        self.unsent = 0  # attempts that count for nothing, as no byte of them went out
-        self.unsure = False  # another gateway may have gone on with it, with its units
-
-    def end_by(self, until: int) -> None:
-        """Its answer is due by then, whatever its client would wait for."""
+        self.in_flight: dict[int, tuple[Server, int]] = {}  # by attempt number: server and send time
+        self.possibly_ran: list[tuple[Member, int]] = []  # attempts that may have run: server and send time
+        self.awaiting_total = True
+        self.counted_units = 0.0  # units added to the count for it
+        self.peers_asked = 0  # gateways asked for ceiling units
+        self.unsent_attempts = 0  # attempts that do not count, as no byte of them was sent
+        self.unsure = False  # another gateway may have resumed it, with its units
+
+    def cap_deadline(self, until: int) -> None:
+        """Cap its deadline, whatever its client would wait for."""
         self.deadline, self.aim_at = min(self.deadline, until), min(self.aim_at, until)
--- a/mothgap/view.py
+++ b/mothgap/view.py
@@ -1,4 +1,4 @@
-"""What a gateway knows, for operators and for what works beside the decisions: looked at, never changed."""
+"""Read-only views of a gateway's state, for operators and for the modules around the decision module."""
 
 from __future__ import annotations
 
@@ -9,33 +9,41 @@
 
 
 class Use(NamedTuple):
-    """One gateway's part of what a zone's servers do: attempts that are out, and how many may be at once."""
+    """One gateway's load on a zone's servers: attempts in flight, and how many there may be at once."""
 
     out: float
     bears: float
 
 
 def believes(gateway: Gateway, customer: int) -> dict[str, float]:
-    """What is known of a customer's use; nothing where it is not known here."""
-    known = gateway._customers.get(customer)
-    if known is None:
+    """What the gateway knows of a customer's use of its quota; empty for a customer it doesn't know."""
+    state = gateway._customers.get(customer)
+    if state is None:
         return {}
-    return {"debt": known.debt, "burst": known.burst, "window": known.window, "total": known.total,
-            "own": known.own, "owed": known.owed, "guess": known.guess, "open": known.open}  # fmt: skip
+    return {
+        "debt": state.debt,
+        "burst": state.burst,
+        "window": state.count_name,
+        "total": state.total,
+        "own": state.own_total,
+        "owed": state.pending,
+        "guess": state.estimated_other_units,
+        "open": state.open_requests,
+    }
 
 
 def use(gateway: Gateway) -> dict[int, Use]:
-    """By zone: what is out there, and what its servers have shown that they bear of this gateway.
+    """By zone: attempts in flight, and the sum of the limits of this gateway's attempts at its servers.
 
-    One that is set aside bears nothing, a cold one as little as the settings say.
+    An ejected server counts with a limit of zero, a cold one with a part of its limit (`Safety.cold_from`).
     """
-    found: dict[int, Use] = {}
+    zones: dict[int, Use] = {}
     for server in gateway._servers.values():
-        if server.line.state is not State.READY:
+        if server.member.state is not State.READY:
             continue
-        bears = 0.0 if server.aside else server.limit.most
-        if gateway._cold(server):
-            bears *= gateway._s.safety.cold_from
-        before = found.get(server.line.zone, Use(0.0, 0.0))
-        found[server.line.zone] = Use(before.out + len(server.out), before.bears + bears)
-    return found
+        limit = 0.0 if server.ejected else server.limit.max_in_flight
+        if gateway._is_cold(server):
+            limit *= gateway._settings.safety.cold_from
+        so_far = zones.get(server.member.zone, Use(0.0, 0.0))
+        zones[server.member.zone] = Use(so_far.out + len(server.out), so_far.bears + limit)
+    return zones
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Servers, attempts and answers."""
+"""Servers, attempts and final answers."""
 
 from dataclasses import replace
 
@@ -20,8 +20,8 @@
 from tests.helpers import CUSTOMER, KEYED, MS, ONCE, REPEATABLE, SECOND, SETTINGS, Driver, kinds, line
 
 
-def other(send: Send, driver: Driver) -> Send:
-    """The attempt after this one."""
+def next_send(send: Send, driver: Driver) -> Send:
+    """The send that follows this one."""
     return next(a for a in driver.actions[driver.actions.index(send) + 1 :] if isinstance(a, Send))
 
 
@@ -34,11 +34,11 @@
 
 @pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
 @pytest.mark.parametrize("cls", [REPEATABLE, KEYED, ONCE])
-def test_what_never_ran_is_sent_elsewhere(result: Result, cls: int) -> None:
+def test_an_attempt_that_never_ran_is_retried_at_another_server(result: Result, cls: int) -> None:
     driver = Driver()
     send = driver.admitted(cls=cls)
     assert kinds(driver.outcome(send.request, result)) == ["Send"]
-    assert other(send, driver).server != send.server
+    assert next_send(send, driver).server != send.server
 
 
 def test_a_repeatable_request_is_sent_again_after_an_error() -> None:
@@ -47,7 +47,7 @@
     assert kinds(driver.outcome(send.request, Result.ERROR)) == ["Send"]
 
 
-def test_a_keyed_request_is_not_sent_again_once_the_key_is_forgotten() -> None:
+def test_a_keyed_request_is_not_sent_again_once_the_key_has_expired() -> None:
     forgetful = replace(SETTINGS.classes[KEYED], key_memory=100 * MS)
     driver = Driver(replace(SETTINGS, classes=(SETTINGS.classes[0], forgetful)))
     send = driver.admitted(cls=KEYED)
@@ -57,7 +57,7 @@
 
 def test_a_keyed_request_is_not_sent_again_where_a_late_connection_would_outlast_its_key() -> None:
     limits = replace(SETTINGS.limits, connect_timeout=250 * MS)
-    for after, again in ((1_700 * MS, True), (1_800 * MS, False)):  # the key is known for two seconds
+    for after, again in ((1_700 * MS, True), (1_800 * MS, False)):  # the key is remembered for two seconds
         driver = Driver(replace(SETTINGS, limits=limits, classes=tuple(
             replace(cls, aim=3 * SECOND) for cls in SETTINGS.classes)))  # fmt: skip
         send = driver.admitted(cls=KEYED)
@@ -73,7 +73,7 @@
     driver.members(*(line(n, cell=n % 2) for n in range(1, 7)), kind=ListKind.CACHED)
     send = driver.admitted(cls=0)
     driver.outcome(send.request, Result.ERROR)
-    again = other(send, driver)
+    again = next_send(send, driver)
     assert driver.lines[again.server].cell == driver.lines[send.server].cell
 
 
@@ -89,8 +89,8 @@
     assert sends < 60 + 10 + 60 * 0.2
 
 
-def test_an_attempt_of_which_no_byte_went_out_is_none_of_those_that_are_allowed() -> None:
-    # Its server began to leave while it was being connected to.
+def test_an_attempt_that_sent_no_byte_does_not_count_against_the_maximum() -> None:
+    # The server began to drain while the connection to it was being opened.
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=2)))
     send = driver.admitted()
     for result in (Result.NOT_SENT, Result.NOT_SENT, Result.ERROR):
@@ -98,7 +98,7 @@
     assert kinds(driver.outcome(send.request, Result.ERROR)) == ["Refuse"]
 
 
-def test_a_gateway_that_can_send_nothing_gives_a_request_up() -> None:
+def test_a_gateway_that_can_send_nothing_refuses_the_request() -> None:
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=2)))
     send = driver.admitted()
     for _ in range(3):
@@ -107,12 +107,12 @@
 
 
 @pytest.mark.parametrize("last", [Result.NOT_SENT, Result.RESET])
-def test_units_come_back_when_the_client_left_before_any_byte_went_out(last: Result) -> None:
+def test_units_are_refunded_when_the_client_disconnected_before_any_byte_was_sent(last: Result) -> None:
     driver = Driver()
     send = driver.admitted()
     assert kinds(driver.outcome(send.request, Result.NOT_SENT)) == ["Send"]
-    back = [action.amount for action in driver.outcome(send.request, last, final=True)]  # type: ignore[union-attr]
-    assert back == ([-1.0] if last is Result.NOT_SENT else [])
+    refunds = [action.amount for action in driver.outcome(send.request, last, final=True)]  # type: ignore[union-attr]
+    assert refunds == ([-1.0] if last is Result.NOT_SENT else [])
 
 
 def test_a_draining_server_gets_nothing_new() -> None:
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_a_request_that_waits_for_its_total_goes_to_none_that_left_meanwhile(state: State) -> None:
+def test_a_request_that_waited_for_its_total_is_not_sent_to_a_server_removed_meanwhile(state: State) -> None:
     for seed in range(8):
         driver = Driver(servers=3, seed=seed)
         driver.request()
@@ -133,17 +133,17 @@
 
 
 @pytest.mark.parametrize("result", [Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT])
-def test_a_further_attempt_just_after_the_news_goes_to_none_that_left(result: Result) -> None:
+def test_a_retry_is_not_sent_to_a_server_that_just_began_to_drain(result: Result) -> None:
     for seed in range(8):
         driver = Driver(servers=3, seed=seed)
         send = driver.admitted()
-        left = next(name for name in driver.lines if name != send.server)
-        driver.members(replace(driver.lines[left], state=State.DRAINING))
+        draining = next(name for name in driver.lines if name != send.server)
+        driver.members(replace(driver.lines[draining], state=State.DRAINING))
         driver.outcome(send.request, result)
-        assert other(send, driver).server != left
+        assert next_send(send, driver).server != draining
 
 
-def test_a_drain_that_is_taken_back_makes_a_server_one_like_the_others_again() -> None:
+def test_a_server_whose_drain_is_cancelled_gets_requests_again() -> None:
     driver = Driver(servers=1)
     driver.members(replace(line(1), state=State.DRAINING))
     assert kinds(driver.request(customer=1)) == ["Refuse"]
@@ -157,7 +157,7 @@
     assert {driver.admitted(customer=n).server for n in range(6)} == {line(2).server}
 
 
-def test_an_empty_list_refuses() -> None:
+def test_requests_are_refused_when_the_list_of_servers_is_empty() -> None:
     driver = Driver(servers=0)
     driver.members(kind=ListKind.CACHED)
     driver.request()
@@ -166,7 +166,7 @@
     assert kinds(driver.actions)[-1] == "Refuse"
 
 
-def test_a_server_that_fails_is_set_aside() -> None:
+def test_a_server_that_fails_is_ejected() -> None:
     driver = Driver(servers=4)
     bad = line(1).server
     for n in range(40):
@@ -179,7 +179,7 @@
     assert sum(send.server == bad for send in late) <= 2
 
 
-def test_a_silent_server_is_left_by_what_may_be_repeated() -> None:
+def test_a_repeatable_attempt_at_a_silent_server_is_cancelled_and_retried() -> None:
     driver = Driver(servers=4)
     for n in range(12):
         send = driver.admitted(customer=n)
@@ -189,11 +189,11 @@
     actions = driver.wait(600 * MS)
     assert Cancel(stuck.request, 0) in actions
     driver.outcome(stuck.request, Result.CANCELLED)
-    assert other(stuck, driver).server != stuck.server
+    assert next_send(stuck, driver).server != stuck.server
 
 
-def test_servers_that_are_all_slow_are_waited_for() -> None:
-    # Usual answers take 150 ms of an aim of a second: half of that without one is no sign of silence yet.
+def test_no_attempt_is_cancelled_when_all_servers_are_slow() -> None:
+    # Usual answers take 150 ms of an aim of a second: half of the aim without one is no sign of silence yet.
     driver = Driver(servers=4)
     for n in range(12):
         send = driver.admitted(customer=n)
@@ -201,29 +201,29 @@
         driver.outcome(send.request)
     slow = driver.admitted(customer=50)
     assert Cancel(slow.request, 0) not in driver.wait(700 * MS)
-    assert not any(server.aside for server in driver.gateway._servers.values())
+    assert not any(server.ejected for server in driver.gateway._servers.values())
 
 
-def test_what_clients_of_little_patience_give_up_tells_nothing_of_servers() -> None:
-    # Answers take 50 ms, and these clients wait for 40: that is no silence, no crowd and no quick pace.
+def test_timeouts_of_impatient_clients_do_not_change_server_statistics() -> None:
+    # Answers take 50 ms, and these clients wait for 40: no sign of silence, overload or low latency.
     driver = Driver(servers=2)
     for n in range(20):
         send = driver.admitted(customer=n)
         driver.wait(50 * MS)
         driver.outcome(send.request)
     servers = driver.gateway._servers.values()
-    before = [(server.limit.most, server.pace) for server in servers]
+    before = [(server.limit.max_in_flight, server.relative_latency) for server in servers]
     for n in range(20):
         driver.request(customer=100 + n, time_left=40 * MS)
         if driver.calls:
             driver.counted(1.0)
         driver.wait(100 * MS)
     assert len([a for a in driver.actions if isinstance(a, Send)]) > 25
-    assert [(server.limit.most, server.pace) for server in servers] == before
-    assert not any(server.aside for server in servers)
+    assert [(server.limit.max_in_flight, server.relative_latency) for server in servers] == before
+    assert not any(server.ejected for server in servers)
 
 
-def test_a_slow_server_that_answers_others_is_waited_for() -> None:
+def test_no_attempt_is_cancelled_at_a_slow_server_that_answers_others() -> None:
     driver = Driver(servers=1)
     slow = driver.admitted(customer=50)
     driver.wait(300 * MS)
@@ -252,8 +252,8 @@
     assert refused > 100
 
 
-def test_an_overdriven_server_is_left_to_drain() -> None:
-    """Attempts given up go on waiting at a server that does not answer: they count as held by it."""
+def test_an_overloaded_server_gets_no_more_until_it_answers() -> None:
+    """Abandoned attempts still wait at a server that does not answer: they count against its limit."""
     driver = Driver(replace(SETTINGS, limits=Limits(max_attempts=1)), servers=2)
     stuck = line(1).server
     for n in range(200):
@@ -268,7 +268,7 @@
     assert sends.count(stuck) < 15 < 150 < len(sends)
 
 
-def test_a_refused_request_that_was_counted_is_taken_off_again() -> None:
+def test_units_of_a_refused_request_are_refunded() -> None:
     driver = Driver(servers=2)
     for n in range(8):
         driver.request(customer=n)  # all wait for their totals while there is room
@@ -291,7 +291,7 @@
         driver.outcome(send.request)
     sends = [a for a in driver.actions if isinstance(a, Send)][200:]
     to_cold = sum(send.server == cold for send in sends)
-    # 5 s at under 2 x 0.5 of what a warm one takes of this gateway's 40 a second
+    # 5 s at under 2 x 0.5 of the 40 requests a second that a warm server gets from this gateway.
     assert 0 < to_cold < 5 * 40 / 3
 
 
@@ -309,11 +309,11 @@
         driver.outcome(send.request)
     driver.wait(5 * SECOND)
     assert not driver.gateway._jobs
-    assert not driver.gateway._asked
-    assert not driver.gateway._tokens
+    assert not driver.gateway._open_calls
+    assert not driver.gateway._timers
 
 
-def test_servers_that_refuse_connects_are_left_even_if_they_are_most() -> None:
+def test_servers_that_refuse_connections_are_avoided_even_if_they_are_the_majority() -> None:
     driver = Driver(servers=4)
     alive = line(1).server
     for n in range(60):
@@ -328,40 +328,40 @@
     assert len(sends) - sends.count(alive) <= 9
 
 
-def test_a_list_that_must_be_asked_for_is_watched_and_asked_again_after_a_failure() -> None:
+def test_a_list_that_must_be_requested_is_watched_and_requested_again_after_a_failure() -> None:
     safety = replace(SETTINGS.safety, ask_within=10 * SECOND)
     driver = Driver(replace(SETTINGS, ask_for_list=True, safety=safety))
     assert kinds(driver.actions) == ["Watch"]
     driver.feed(Members(ListKind.FAILED, 2, ()))
     assert kinds(driver.wait(2 * SECOND)) == ["Watch"]
-    assert driver.admitted().server in driver.lines  # the list before stays
+    assert driver.admitted().server in driver.lines  # the previous list stays
 
 
 SECOND_COPIES = replace(SETTINGS, limits=Limits(max_attempts=4, may_cancel=True, second_copies=True))
 
 
-def test_where_a_second_copy_may_be_out_a_silent_server_is_not_given_up() -> None:
-    # It may only be slow, and what runs there goes on in any case. A cancel ends the connection and makes the
-    # gateway take what it gave up for work that still waits there.
+def test_with_second_copies_allowed_the_attempt_at_a_silent_server_is_not_cancelled() -> None:
+    # The server may only be slow, and the attempt runs on there in any case. A cancel closes the connection,
+    # and the gateway counts the attempt as abandoned work that still waits there.
     driver = Driver(SECOND_COPIES)
     send = driver.admitted()
     assert kinds(driver.wait(600 * MS)) == ["Send"]
-    second = other(send, driver)
+    second = next_send(send, driver)
     assert (second.request, second.server != send.server) == (send.request, True)
-    assert kinds(driver.wait(390 * MS)) == []  # the second has the rest of the time
+    assert kinds(driver.wait(390 * MS)) == []  # the second one has the remaining time
     assert kinds(driver.outcome(send.request, Result.OK, 0)) == []
     assert kinds(driver.outcome(send.request, Result.OK, 1)) == []
-    assert driver.gateway._customers[CUSTOMER].open == 0
+    assert driver.gateway._customers[CUSTOMER].open_requests == 0
 
 
 @pytest.mark.parametrize("cls", [KEYED, ONCE])
-def test_no_second_copy_is_sent_of_what_is_not_safe_to_repeat(cls: int) -> None:
+def test_no_second_copy_is_sent_of_a_request_that_is_not_repeatable(cls: int) -> None:
     driver = Driver(SECOND_COPIES)
     driver.admitted(cls=cls)
     assert "Send" not in kinds(driver.wait(700 * MS))
 
 
-def test_a_further_attempt_has_all_the_time_that_is_left() -> None:
+def test_a_retry_gets_all_the_remaining_time() -> None:
     driver = Driver()
     send = driver.admitted()
     assert kinds(driver.wait(600 * MS)) == ["Cancel"]
@@ -369,18 +369,18 @@
     assert "Cancel" not in kinds(driver.wait(390 * MS))
 
 
-def test_a_client_that_leaves_frees_what_it_had() -> None:
-    # Guards memory, as a customer with anything open is kept, and the quota: what was not sent is not used.
+def test_a_client_that_disconnects_frees_its_open_requests_and_unsent_units() -> None:
+    # A customer with open requests is never evicted, and units that were not sent must not use up the quota.
     driver = Driver()
     send = driver.admitted(units=2.0)
     driver.expire(send.request)
-    assert driver.gateway._customers[CUSTOMER].open == 0
+    assert driver.gateway._customers[CUSTOMER].open_requests == 0
     driver.request(units=2.0)
     driver.expire(send.request + 1)
     assert driver.calls[-1].amount == -2.0
 
 
-def test_attempts_given_up_at_a_server_that_never_answers_are_forgotten() -> None:
+def test_abandoned_attempts_at_a_server_that_never_answers_expire() -> None:
     driver = Driver(servers=1)
     for _ in range(60):
         driver.request(customer=driver.next_id)
@@ -388,27 +388,27 @@
             driver.counted(1.0)
         driver.wait(2 * SECOND)
     assert kinds(driver.actions).count("Send") > 20
-    assert len(driver.gateway._servers["10.0.0.1:80"].ghosts) <= 6
+    assert len(driver.gateway._servers["10.0.0.1:80"].abandoned) <= 6
 
 
-def test_a_request_that_is_sent_again_is_open_once() -> None:
-    # Guards plans that cap what is out, and memory: the count must come back to nothing, and not before.
+def test_a_retried_request_counts_as_open_once() -> None:
+    # Concurrency limits and eviction need the count of open requests to return to zero, and not too early.
     driver = Driver()
     first, second = driver.admitted(), driver.admitted()
     driver.outcome(first.request, Result.ERROR)
-    assert driver.gateway._customers[CUSTOMER].open == 2
+    assert driver.gateway._customers[CUSTOMER].open_requests == 2
     driver.outcome(first.request)
-    assert driver.gateway._customers[CUSTOMER].open == 1
+    assert driver.gateway._customers[CUSTOMER].open_requests == 1
     driver.outcome(second.request)
-    assert driver.gateway._customers[CUSTOMER].open == 0
+    assert driver.gateway._customers[CUSTOMER].open_requests == 0
 
 
-def test_what_was_given_up_at_one_server_takes_no_room_at_the_others() -> None:
-    # Servers that pause hold what was given up; those that answer must not go idle for it.
+def test_abandoned_attempts_at_one_server_take_no_room_at_the_others() -> None:
+    # Servers that stall hold abandoned attempts; those that answer must not go idle because of them.
     driver = Driver()
     paused = next(iter(driver.gateway._servers.values()))
-    paused.ghosts = [driver.now] * 8  # more than the limits of all four come to
-    assert driver.admitted().server != paused.line.server
+    paused.abandoned = [driver.now] * 8  # more than the limits of all four together
+    assert driver.admitted().server != paused.member.server
 
 
 @pytest.mark.parametrize("final", [False, True])  # the module does not rely on being told
@@ -426,4 +426,4 @@
     assert "Send" not in kinds(driver.outcome(send.request, second, 1))
     driver.lives[send.request].over = True
     assert "Send" not in kinds(driver.wait(3 * SECOND))
-    assert driver.gateway._customers[CUSTOMER].open == 0
+    assert driver.gateway._customers[CUSTOMER].open_requests == 0
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -1,4 +1,4 @@
-"""Metering: the ordinary path of the design, and what happens when the counter fails."""
+"""Metering: the ordinary path, and what happens when the counter fails or is overloaded."""
 
 from dataclasses import replace
 
@@ -9,31 +9,31 @@
 from tests.helpers import CEILING, CUSTOMER, MS, ONCE, REPEATABLE, SECOND, SETTINGS, Driver, kinds
 
 
-def test_units_are_added_before_the_request_goes_on() -> None:
+def test_units_are_added_before_the_request_is_sent() -> None:
     driver = Driver()
     assert kinds(driver.request(units=2.0)) == ["Count"]
     assert driver.calls[0].amount == 2.0
     assert kinds(driver.counted(2.0)) == ["Send"]
 
 
-def test_over_the_allowance_units_are_added_back_and_refused_with_retry_after() -> None:
+def test_over_the_quota_units_are_taken_back_and_the_request_refused_with_retry_after() -> None:
     driver = Driver()
     driver.request(units=1.0)
     actions = driver.counted(9.0)  # others took 8 of 8
-    back, refusal = actions
-    assert isinstance(back, Count)
-    assert back.amount == -1.0
+    refund, refusal = actions
+    assert isinstance(refund, Count)
+    assert refund.amount == -1.0
     assert isinstance(refusal, Refuse)
     assert 0 < refusal.retry_after <= 4 * SECOND  # the window is burst / rate
 
 
-def test_the_allowance_grows_with_the_rate() -> None:
+def test_the_quota_refills_with_the_rate() -> None:
     driver = Driver()
     driver.request()
     assert "Refuse" in kinds(driver.counted(9.0))
     driver.wait(3 * SECOND)  # six units more
     driver.request()
-    driver.counted(8.0)  # the answer to the add-back
+    driver.counted(8.0)  # the answer to the refund
     assert kinds(driver.counted(9.0)) == ["Send"]
 
 
@@ -44,7 +44,7 @@
     assert kinds(driver.request()) == ["Refuse"]
 
 
-def test_debt_is_carried_over_the_edge_of_a_window() -> None:
+def test_debt_is_carried_over_into_the_next_window() -> None:
     driver = Driver()
     names = set()
     passed = 0
@@ -53,7 +53,7 @@
         while driver.calls:
             names.add(driver.calls[0].name)
             passed_before = kinds(driver.actions).count("Send")
-            driver.counted(sum_of(driver, driver.calls[0].name))
+            driver.counted(total_of(driver, driver.calls[0].name))
             passed += kinds(driver.actions).count("Send") - passed_before
         driver.wait(125 * MS)
         driver.finish()
@@ -61,19 +61,19 @@
     assert len(names) > 3
 
 
-def sum_of(driver: Driver, name: int) -> float:
-    """What the counter would say for the oldest call: all adds to the name, later calls not yet served."""
+def total_of(driver: Driver, name: int) -> float:
+    """The counter's answer to the oldest call: all increments of the name but those of later open calls."""
     later = sum(call.amount for call in driver.calls[1:] if call.name == name)
     return sum(a.amount for a in driver.actions if isinstance(a, Count) and a.name == name) - later
 
 
-def test_a_refusing_counter_leaves_the_local_share_to_decide() -> None:
+def test_the_local_share_decides_when_the_counter_rejects_a_call() -> None:
     driver = Driver()
     driver.request(entry_points=2)
     assert kinds(driver.counted(result=Result.FULL)) == ["Send"]
 
 
-def test_while_the_counter_is_away_only_the_share_passes() -> None:
+def test_while_the_counter_is_unavailable_only_the_local_share_passes() -> None:
     driver = Driver()
     passed = 0
     for _ in range(80):  # 8 requests a second for 10 s; the quota is 8 + 2 a second, the share half of it
@@ -86,7 +86,7 @@
     assert 8 <= passed <= 16
 
 
-def test_a_silent_counter_is_tried_only_now_and_then_and_taken_up_again() -> None:
+def test_a_silent_counter_gets_trial_calls_and_is_used_again_once_it_answers() -> None:
     driver = Driver()
     for customer in range(40):
         driver.request(customer=customer)
@@ -102,14 +102,14 @@
     assert kinds(driver.request(customer=101)) == ["Count"]
 
 
-def test_a_flushed_count_does_not_hand_out_the_burst_again() -> None:
+def test_a_lost_count_does_not_grant_the_burst_again() -> None:
     driver = Driver()
     for total in range(1, 8):
         driver.request()
         assert kinds(driver.counted(float(total))) == ["Send"]
         driver.finish()
     passed = []
-    for total in range(1, 4):  # the count began anew, the memory stays
+    for total in range(1, 4):  # the count starts anew, the gateway's own record remains
         driver.request()
         while driver.calls:
             passed += kinds(driver.counted(float(total)))
@@ -121,7 +121,7 @@
     assert kinds(driver.request(time_left=0)) == ["Refuse"]
 
 
-def test_a_slow_counter_is_not_waited_for_past_the_clients_patience() -> None:
+def test_a_slow_counter_is_not_waited_for_past_the_clients_deadline() -> None:
     driver = Driver()
     driver.request(time_left=40 * MS)
     driver.wait(40 * MS)
@@ -129,7 +129,7 @@
     driver.wait(20 * MS)
 
 
-def test_the_ceiling_holds_when_the_counter_says_yes() -> None:
+def test_the_ceiling_is_enforced_though_the_counter_shows_room() -> None:
     driver = Driver()
     driver.wait(10 * SECOND)
     for _ in range(40):  # 20 units is this gateway's third of the ceiling
@@ -140,7 +140,7 @@
     assert kinds(driver.actions).count("Send") <= 20
 
 
-def test_the_ceilings_share_is_empty_after_a_restart() -> None:
+def test_the_share_of_a_ceiling_is_empty_after_a_restart() -> None:
     driver = Driver()
     driver.request(plan=CEILING, entry_points=3, cls=ONCE)
     assert kinds(driver.actions)[-1] == "Refuse"
@@ -154,7 +154,7 @@
     assert kinds(driver.actions).count("Send") == 2
 
 
-def test_one_off_customers_leave_no_state_behind() -> None:
+def test_customers_with_a_single_request_are_evicted() -> None:
     driver = Driver()
     for customer in range(3_000):
         driver.request(customer=customer, time_left=0)
@@ -162,28 +162,28 @@
     assert len(driver.gateway._customers) < 1_000
 
 
-def test_one_lost_answer_does_not_cut_a_customer_to_the_even_share() -> None:
+def test_one_lost_answer_does_not_limit_a_customer_to_the_even_share() -> None:
     driver = Driver()
     for _ in range(2):
         driver.request(entry_points=8)
         assert kinds(driver.counted(result=Result.TIMEOUT)) == ["Send"]
 
 
-def test_guessed_units_are_settled_with_the_true_ones() -> None:
+def test_estimated_units_are_corrected_by_the_true_ones() -> None:
     driver = Driver(replace(SETTINGS, units_settle=True))
     send = driver.admitted(units=2.0)
     life = driver.lives[send.request]
     life.live.clear()
     life.over = True
     event = Outcome(send.request, 0, send.server, Result.OK, 50 * MS, True, true_units=3.0)
-    (settled,) = driver.feed(event)
-    assert isinstance(settled, Count)
-    assert settled.amount == 1.0
+    (correction,) = driver.feed(event)
+    assert isinstance(correction, Count)
+    assert correction.amount == 1.0
 
 
-def test_the_timer_for_a_total_that_came_calls_no_attempt_off() -> None:
-    # Where a tenth of the aim is shorter than the counter's time limit, a request sets a timer for its total.
-    # It rings when an attempt has just begun, and would end each one that is not answered by then.
+def test_the_timer_for_a_total_that_arrived_cancels_no_attempt() -> None:
+    # If a tenth of the aim is shorter than the counter's time limit, a request sets a timer for its total.
+    # The timer fires when an attempt has just begun, and must not cancel it.
     driver = Driver(settings=replace(SETTINGS, counter=Counter(time_limit=400 * MS)))
     for cls in (REPEATABLE, ONCE):
         driver.admitted(cls=cls)
@@ -191,9 +191,10 @@
         driver.finish()
 
 
-def test_calls_that_fail_together_do_not_mean_that_the_counter_is_away() -> None:
-    # Calls in one late queue or on one broken connection fail at once. While it is taken to be away, a
-    # request costs as much as all gateways that share the customer, and most are refused with room.
+def test_calls_that_fail_together_do_not_mark_the_counter_as_unavailable() -> None:
+    # Calls in one late queue or on one broken connection fail together. While the counter counts as
+    # unavailable, a request costs as much as at all gateways that share the customer, and most are refused
+    # though there is room.
     driver = Driver()
     driver.request(entry_points=4)
     assert kinds(driver.counted(1.0)) == ["Send"]
@@ -202,16 +203,16 @@
     for result in (Result.TIMEOUT, Result.TIMEOUT, Result.RESET, Result.RESET, Result.FULL):
         driver.counted(result=result)
     driver.finish()
-    driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+    driver.gateway._call_share = 1.0  # all requests call the counter
     assert kinds(driver.request(units=2.0, entry_points=4)) == ["Count"]
     assert kinds(driver.counted(result=Result.TIMEOUT)) == ["Send"]
 
 
-def test_what_passes_without_a_call_is_added_with_the_next_one() -> None:
+def test_units_that_pass_without_a_call_are_added_with_the_next_one() -> None:
     driver = Driver()
     added, passed, largest = 0.0, 0, 0.0
-    for share in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is crowded, then not
-        driver.gateway._calling = share
+    for share in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is overloaded, then not
+        driver.gateway._call_share = share
         actions = driver.request()
         if driver.calls:
             added += driver.calls[0].amount
@@ -221,44 +222,44 @@
         passed += kinds(actions).count("Send")
         driver.finish()
     assert (passed, added) == (6, 6.0)
-    assert largest > 1.0  # some did pass without one
+    assert largest > 1.0  # some passed without a call
 
 
-def test_an_add_whose_answer_was_lost_is_not_taken_for_the_use_of_others() -> None:
+def test_an_increment_whose_answer_was_lost_is_not_taken_for_the_use_of_others() -> None:
     driver = Driver()
     sends = []
     for total in (2.0, 4.0, 6.0, 8.0):
         for result in (Result.RESET, Result.OK):
-            driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+            driver.gateway._call_share = 1.0  # all requests call the counter
             driver.request()
             sends += kinds(driver.counted(total, result))
             driver.finish()
     assert sends == ["Send"] * 8  # the whole burst
 
 
-def test_what_was_turned_away_is_added_with_the_next_call() -> None:
+def test_units_of_a_rejected_call_are_added_with_the_next_call() -> None:
     driver = Driver()
     driver.request(units=2.0)
     assert kinds(driver.counted(result=Result.FULL)) == ["Send"]
-    driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+    driver.gateway._call_share = 1.0  # all requests call the counter
     driver.request(units=1.0)
     assert driver.calls[0].amount == 3.0
 
 
-def test_an_add_that_the_next_total_does_not_hold_is_owed() -> None:
-    # A connection may break before its calls are taken: they must not be lost from the count.
+def test_an_increment_missing_from_the_next_total_is_pending() -> None:
+    # A connection may break before the counter reads its calls: their units must not be lost from the count.
     driver = Driver()
     driver.request(units=2.0)
     assert kinds(driver.counted(result=Result.RESET)) == ["Send"]
     for total, amount in ((1.0, 1.0), (4.0, 3.0)):
-        driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+        driver.gateway._call_share = 1.0  # all requests call the counter
         driver.request()
         assert driver.calls[0].amount == amount
         driver.counted(total)
         driver.finish()
 
 
-def test_what_passes_uncounted_stands_for_others_as_much_as_totals_told() -> None:
+def test_uncounted_units_stand_for_the_use_of_others_as_far_as_totals_showed_it() -> None:
     # Two gateways that each let a burst through between two totals are two bursts for the customer.
     passed = []
     for others in (0.0, 1.0):
@@ -272,7 +273,7 @@
             driver.finish()
             driver.wait(1 * SECOND)
         driver.wait(8 * SECOND)
-        driver.gateway._calling = 1e-9  # next to no call
+        driver.gateway._call_share = 1e-9  # almost no request calls the counter
         before = kinds(driver.actions).count("Send")
         for _ in range(12):
             driver.request(entry_points=2)
@@ -283,49 +284,49 @@
     assert passed[0] <= 8
 
 
-def test_a_total_takes_the_place_of_what_was_guessed_of_others() -> None:
+def test_a_total_replaces_the_estimated_use_of_others() -> None:
     driver = Driver()
-    driver.gateway._calling = 1e-9
+    driver.gateway._call_share = 1e-9
     assert kinds(driver.request(entry_points=4)) == ["Send"]  # stands for 4 units
-    driver.gateway._calling = 1.0
+    driver.gateway._call_share = 1.0
     for units, total in ((4.0, 5.0), (2.0, 7.0)):  # others took nothing
         driver.request(units=units, entry_points=4)
         assert kinds(driver.counted(total)) == ["Send"]
 
 
-def test_a_refusal_at_a_crowded_counter_ends_when_the_units_fit_again() -> None:
-    # A refusal for the rest of a window held out customers whose burst was half unused by then.
+def test_refusals_while_the_counter_is_overloaded_end_when_the_units_fit_again() -> None:
+    # Refusing for the rest of a window would lock out customers whose burst is half unused by then.
     driver = Driver()
     driver.request(cls=ONCE)
     driver.counted(8.0)
-    driver.gateway._calling = 0.5
+    driver.gateway._call_share = 0.5
     assert kinds(driver.request(cls=ONCE)) == ["Refuse"]  # without a call: nothing has been refilled yet
     driver.wait(2 * SECOND)  # four units
     assert kinds(driver.request(cls=ONCE)) == ["Count"]
 
 
-def test_a_quota_at_its_edge_is_kept_for_the_dearer_class() -> None:
-    # Those take more units each: while lookups pass one by one, they would never find room.
+def test_the_rest_of_a_quota_is_reserved_for_the_class_of_more_worth() -> None:
+    # Its requests take more units each: while single units pass one by one, they would never find room.
     driver = Driver()
     driver.request(units=4.0, cls=ONCE)
     driver.counted(12.0)  # others took 8 of 8
-    driver.counted(8.0)  # the answer to the add-back
+    driver.counted(8.0)  # the answer to the refund
     driver.wait(2 * SECOND)  # four units
-    driver.gateway._calling = 0.9  # crowded: it is refused without a call
+    driver.gateway._call_share = 0.9  # overloaded: it is refused without a call
     assert kinds(driver.request(units=1.0)) == ["Refuse"]
-    driver.gateway._calling = 1.0
+    driver.gateway._call_share = 1.0
     assert kinds(driver.request(units=1.0)) == ["Count"]  # as the units by themselves would fit
     assert "Refuse" in kinds(driver.counted(9.0))
     driver.counted(8.0)
     driver.request(units=2.0, cls=ONCE)
     assert kinds(driver.counted(10.0)) == ["Send"]
     driver.wait(SECOND // 2)  # one unit, but all keep two
-    driver.gateway._calling = 0.9
+    driver.gateway._call_share = 0.9
     assert kinds(driver.request(units=2.0, cls=ONCE)) == ["Refuse"]
 
 
-def test_what_is_beyond_a_quota_is_no_debt() -> None:
-    # It takes nothing from the quota: a debt for it would last as long as the customer asks for all of it.
+def test_units_beyond_a_quota_do_not_become_debt() -> None:
+    # They take nothing from the quota: a debt for them would last as long as the customer asks for all of it.
     driver = Driver()
     driver.request(cls=ONCE)
     driver.counted(20.0)
@@ -333,33 +334,33 @@
     assert "Count" in kinds(driver.request(cls=ONCE))
 
 
-def test_what_others_take_back_of_what_found_no_room_frees_nothing() -> None:
+def test_refunds_by_others_of_units_beyond_the_quota_free_no_room() -> None:
     driver = Driver()
     driver.request(cls=ONCE)
     driver.counted(12.0)  # 11 by others, of which 3 were refused
-    driver.counted(8.0)  # and are taken back, as is the one here
+    driver.counted(8.0)  # and are refunded, as is the one here
     assert kinds(driver.request(cls=ONCE)) == ["Refuse"]
 
 
-def test_what_was_refused_in_a_window_is_not_taken_back_in_the_next() -> None:
-    # The new count never held it: others would take it for room.
+def test_units_refused_in_one_window_are_not_refunded_in_the_next() -> None:
+    # The new count never held them: others would take the refund for room.
     driver = Driver()
     driver.request(units=2.0, cls=ONCE)
-    driver.gateway._calling = 0.5  # it is taken back with the next call
+    driver.gateway._call_share = 0.5  # it is refunded with the next call
     driver.counted(10.0)
     driver.wait(4 * SECOND)  # as long as a window
-    driver.gateway._calling = 1.0
+    driver.gateway._call_share = 1.0
     driver.request(cls=ONCE)
     assert driver.calls[0].amount == 1.0
 
 
-def test_room_is_kept_for_what_other_gateways_owe() -> None:
-    # The total can't hold what they have let through since their last call for the customer.
+def test_room_is_reserved_for_pending_units_of_other_gateways() -> None:
+    # A total can't include what other gateways have let through since their last call for the customer.
     driver = Driver()
     for _ in range(4):
-        driver.gateway._calling = 1e-9
+        driver.gateway._call_share = 1e-9
         driver.request(entry_points=2, cls=ONCE)
-        driver.gateway._calling = 1.0
+        driver.gateway._call_share = 1.0
         driver.request(entry_points=2, cls=ONCE)
         driver.counted(driver.calls[0].amount)
         driver.finish()
@@ -368,15 +369,15 @@
     assert "Refuse" in kinds(driver.counted(8.0))
 
 
-def test_a_crowded_counter_is_called_for_those_that_are_near_their_burst() -> None:
+def test_an_overloaded_counter_is_called_for_customers_near_their_burst() -> None:
     calls = {0.0: 0, 6.0: 0}
-    for units in calls:  # what each customer has taken, of 8
+    for units in calls:  # units that each customer has taken, of 8
         driver = Driver()
         for customer in range(40):
             if units:
                 driver.request(customer=customer, units=units)
                 driver.counted(units)
-            driver.gateway._calling = 0.5
+            driver.gateway._call_share = 0.5
             before = len(driver.calls)
             driver.request(customer=customer)
             calls[units] += len(driver.calls) - before
@@ -387,7 +388,7 @@
     assert calls[0.0] < 10
 
 
-def test_a_broken_connection_does_not_mean_that_the_counter_is_crowded() -> None:
+def test_a_broken_connection_does_not_mean_that_the_counter_is_overloaded() -> None:
     # Fewer calls would let requests pass uncounted, and customers beyond their quotas.
     driver = Driver()
     for customer in range(8):
@@ -397,11 +398,11 @@
 
 
 @pytest.mark.parametrize("marked", [False, True])
-def test_where_later_tries_are_the_most_a_first_one_is_not_taken_for_one(marked: bool) -> None:
-    # Of 3 s of patience a first try comes with 1.9: were its aim of 1 s counted from the time missing, a plan
-    # that is refused for some seconds would be refused for good by its own repeats.
+def test_a_first_try_is_not_taken_for_a_retry_when_retries_are_the_majority(marked: bool) -> None:
+    # A first try comes with 1.9 s left of a deadline of 3 s. If its aim of 1 s were counted from the missing
+    # time, a plan that is refused for some seconds would be refused forever because of its own retries.
     driver = Driver(replace(SETTINGS, marks_retries=marked))
-    driver.gateway._calling = 0.9
+    driver.gateway._call_share = 0.9
     for customer in range(12):
         first = driver.request(customer=customer, time_left=1_900 * MS)
         assert Cause.NO_TIME not in [action.cause for action in first if isinstance(action, Refuse)]
@@ -410,28 +411,28 @@
         driver.calls.clear()
 
 
-def test_a_later_try_whose_aim_has_passed_is_refused_at_a_crowded_counter() -> None:
-    # It would take units for an answer that earns nothing. Where clients mark later tries, others are none.
+def test_a_retry_whose_aim_has_passed_is_refused_while_the_counter_is_overloaded() -> None:
+    # It would take units for an answer that earns nothing. If clients mark retries, others are first tries.
     for marked, retry, refused in ((False, False, True), (True, True, True), (True, False, False)):
         driver = Driver(replace(SETTINGS, marks_retries=marked))
         for customer in range(4):
             driver.request(customer=customer)
-        driver.gateway._calling = 0.9
+        driver.gateway._call_share = 0.9
         actions = driver.request(customer=9, time_left=1_500 * MS, retry=retry)
         assert ([a.cause for a in actions if isinstance(a, Refuse)] == [Cause.NO_TIME]) is refused
 
 
-def test_where_some_clients_have_little_patience_their_marked_repeats_are_served() -> None:
-    # A repeat with 300 ms left is no last one where first tries come with as much.
+def test_marked_retries_of_impatient_clients_are_served() -> None:
+    # A retry with 300 ms left is not a last one where first tries come with as much.
     driver = Driver(replace(SETTINGS, marks_retries=True))
     for customer in range(8):
         driver.request(customer=customer, time_left=(300 if customer == 2 else 3_000) * MS)
-    driver.gateway._calling = 0.9
+    driver.gateway._call_share = 0.9
     actions = driver.request(customer=9, time_left=300 * MS, retry=True)
     assert not any(isinstance(a, Refuse) for a in actions)
 
 
-def test_late_and_refused_calls_mean_that_it_is_crowded() -> None:
+def test_late_and_rejected_calls_mean_that_the_counter_is_overloaded() -> None:
     for result in (Result.TIMEOUT, Result.FULL):
         driver = Driver()
         for customer in range(40):
@@ -443,24 +444,24 @@
         assert len([a for a in driver.actions if isinstance(a, Count)]) < 36
 
 
-@pytest.mark.parametrize("crowded", [False, True])
+@pytest.mark.parametrize("overloaded", [False, True])
 @pytest.mark.parametrize("unsure", [False, True])
-def test_units_of_what_another_gateway_may_have_gone_on_with_are_not_given_back(
-    crowded: bool, unsure: bool
+def test_units_of_a_request_that_another_gateway_may_have_resumed_are_not_refunded(
+    overloaded: bool, unsure: bool
 ) -> None:
     driver = Driver()
     driver.request()
-    if crowded:
+    if overloaded:
         driver.request(customer=5)
         driver.counted(result=Result.TIMEOUT, call=1)
     driver.feed(Unsure(1, True))
     driver.feed(Unsure(1, unsure))
     driver.expire(1)
-    back = sum(a.amount for a in driver.actions if isinstance(a, Count) and a.amount < 0)
-    assert back + believes(driver.gateway, CUSTOMER)["owed"] == (0.0 if unsure else -1.0)
+    refunded = sum(a.amount for a in driver.actions if isinstance(a, Count) and a.amount < 0)
+    assert refunded + believes(driver.gateway, CUSTOMER)["owed"] == (0.0 if unsure else -1.0)
 
 
-def test_what_a_lost_gateway_had_added_is_looked_at_and_not_added_again() -> None:
+def test_units_counted_by_a_lost_gateway_are_checked_and_not_added_again() -> None:
     driver = Driver()
     assert kinds(driver.request(counted=True)) == ["Count"]
     assert driver.calls[0].amount == 0.0
@@ -472,7 +473,7 @@
     assert kinds(driver.request(counted=True, sent=True, customer=7)) == ["Send"]
 
 
-def test_what_a_lost_gateway_had_added_is_not_added_while_the_counter_is_away() -> None:
+def test_units_counted_by_a_lost_gateway_are_not_added_while_the_counter_is_unavailable() -> None:
     driver = Driver()
     for customer in range(40):
         driver.request(customer=customer, counted=True)
--- a/tests/test_without_counter.py
+++ b/tests/test_without_counter.py
@@ -1,4 +1,4 @@
-"""A deployment whose settings name no counter: nothing is added, and all requests are answered."""
+"""A deployment whose settings name no counter: no count is changed, and all requests are answered."""
 
 import asyncio
 from collections.abc import Iterator
@@ -13,57 +13,58 @@
 from tests.net import Peer, call
 from tests.test_engine import Ends, play
 
-ALONE = replace(SETTINGS, counter=None, limits=Limits(max_attempts=2))
+WITHOUT_COUNTER = replace(SETTINGS, counter=None, limits=Limits(max_attempts=2))
 
 
-def sent(driver: Driver) -> Send:
-    """A request that its customer's quota lets pass."""
+def first_send(driver: Driver) -> Send:
+    """The send of a request that its customer's quota allows."""
     return next(action for action in driver.request() if isinstance(action, Send))
 
 
-def test_a_request_that_no_server_may_take_is_refused_with_no_call() -> None:
-    driver = Driver(ALONE, servers=0)
+def test_a_request_without_an_available_server_is_refused_without_a_call() -> None:
+    driver = Driver(WITHOUT_COUNTER, servers=0)
     driver.members(line(1, started_at=driver.now), kind=ListKind.CACHED)
-    driver.request()  # the server has just started, and bears nothing yet
+    driver.request()  # the server has just started, and can't take any request yet
     assert kinds(driver.actions) == ["Refuse"]
 
 
-def test_a_client_that_leaves_before_its_request_is_sent_makes_no_call() -> None:
-    driver = Driver(ALONE)
-    request = sent(driver).request
+def test_a_client_that_disconnects_before_its_request_is_sent_causes_no_call() -> None:
+    driver = Driver(WITHOUT_COUNTER)
+    request = first_send(driver).request
     driver.outcome(request, Result.NOT_SENT, final=True)
-    waits = replace(
-        ALONE,
+    with_peers = replace(
+        WITHOUT_COUNTER,
         plans=(Plan(rate=2.0, burst=8.0, ceiling_rate=1.0, ceiling_burst=4.0),),
-        limits=replace(ALONE.limits, peers=True),
+        limits=replace(WITHOUT_COUNTER.limits, peers=True),
     )
-    driver = Driver(waits)
+    driver = Driver(with_peers)
     actions = driver.request(entry_points=3)
-    assert "Tell" in kinds(actions) and "Refuse" not in kinds(actions)  # it waits for a part of the ceiling
+    # It waits for ceiling units from other gateways.
+    assert "Tell" in kinds(actions) and "Refuse" not in kinds(actions)
     driver.expire(1)
     assert not driver.gateway._jobs
 
 
-def test_a_counter_that_a_reload_takes_away_is_still_given_back_what_was_added() -> None:
+def test_units_are_refunded_to_a_counter_that_a_reload_removed() -> None:
     driver = Driver()
     send = driver.admitted()
-    driver.adopt(ALONE)
+    driver.adopt(WITHOUT_COUNTER)
     driver.outcome(send.request, Result.NOT_SENT, final=True)
     assert [call.amount for call in driver.calls] == [-1.0]
 
 
-def test_a_request_that_another_gateway_counted_is_not_given_back_to_nobody() -> None:
-    """A request of a lost gateway, which had a counter still."""
-    driver = Driver(ALONE, servers=0)
+def test_units_that_another_gateway_counted_are_not_refunded_without_a_counter() -> None:
+    """A request of a lost gateway, which still had a counter."""
+    driver = Driver(WITHOUT_COUNTER, servers=0)
     driver.request(customer=CUSTOMER, counted=True)
     assert kinds(driver.actions) == ["Refuse"]
     driver.wait(SECOND)
 
 
-def test_a_call_without_a_counter_is_answered_and_the_actions_after_it_are_done(
+def test_a_call_without_a_counter_fails_and_the_actions_after_it_are_executed(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Whatever the module asks for: the refusal that stands behind the call still goes out."""
+    """Whatever the module returns: the refusal after the call is still sent."""
 
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
