--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -396,7 +396,7 @@
             if self._rng.random() < share:
                 # In a large fleet the customer may not come here again: this call also counts for requests
                 # that pass without one. For a request that a lost gateway has counted, the total is only
-                # read: nobody may have seen it.
+                # read: that gateway may not have seen it.
                 amount = (
                     request.units
                     if likely_over_quota or not self._sparse_customers
@@ -505,10 +505,13 @@
                 customer.recent_refusals * fade,
             )
         customer.updated_at = self._now
-        spread = max(1, entry_points)
+        gateways = max(1, entry_points)
         customer.quota_rate = plan.rate
         capacity = plan.ceiling_burst - (held_back(plan) if self._settings.limits.peers else 0.0)
-        customer.ceiling_refill_rate, customer.full = plan.ceiling_rate / spread, max(0.0, capacity) / spread
+        customer.ceiling_refill_rate, customer.full = (
+            plan.ceiling_rate / gateways,
+            max(0.0, capacity) / gateways,
+        )
         self._refill_ceiling(customer)
         return customer
 
@@ -595,13 +598,13 @@
         # Other gateways' units without the request's own.
         customer.apply_others(others - (job.request.units if job.request.counted else 0.0))
         customer.mean_pending += SMOOTHING * (max(0.0, amount - job.counted_units) - customer.mean_pending)
-        over = not self._fits_quota(job, plan, job.request.units)
+        over_quota = not self._fits_quota(job, plan, job.request.units)
         customer.recent_decisions += 1.0
-        customer.recent_refusals += over
+        customer.recent_refusals += over_quota
         self._plan_refusal_rate[job.request.plan] += SLOW_SMOOTHING * (
-            over - self._plan_refusal_rate[job.request.plan]
+            over_quota - self._plan_refusal_rate[job.request.plan]
         )
-        if over:
+        if over_quota:
             self._end(job, Cause.QUOTA)
         else:
             customer.debt += job.request.units
@@ -740,19 +743,22 @@
     # --- ceilings ---------------------------------------------------------------------------------------
 
     def _within_ceiling(self, job: OpenRequest, plan: Plan) -> bool:
-        """Rule 5, and plans that limit concurrency: this gateway's own share, whatever the counter says."""
+        """Whether this gateway's own shares of the ceiling (rule 5) and of the concurrency limit allow it.
+
+        They hold whatever the counter says.
+        """
         return self._within_concurrency(job, plan) and (
             plan.ceiling_rate <= 0 or job.request.sent or job.customer.ceiling >= job.request.units
         )
 
     def _within_concurrency(self, job: OpenRequest, plan: Plan) -> bool:
-        spread = max(1, job.request.entry_points)
-        return not plan.concurrency or job.customer.open_requests < -(-plan.concurrency // spread)
+        gateways = max(1, job.request.entry_points)
+        return not plan.concurrency or job.customer.open_requests < -(-plan.concurrency // gateways)
 
     def _can_borrow(self, job: OpenRequest, plan: Plan) -> bool:
         """Whether other gateways may have saved up the ceiling units that are missing here."""
-        lends = self._settings.limits.peers and plan.ceiling_rate > 0 and self._ceiling_part > 0
-        return lends and job.request.entry_points > 1 and self._within_concurrency(job, plan)
+        lending = self._settings.limits.peers and plan.ceiling_rate > 0 and self._ceiling_part > 0
+        return lending and job.request.entry_points > 1 and self._within_concurrency(job, plan)
 
     def _on_quota_granted(self, job: OpenRequest, plan: Plan) -> None:
         """Send a request that the quota allows, as soon as the ceiling allows it. Its units are in the debt.
@@ -981,13 +987,16 @@
         return chain([subset[int(draw() * len(subset))] for _ in range(LOOK)], (None,), subset)
 
     def _may_repeat_on(self, job: OpenRequest, server: Server) -> bool:
-        """Rule 2: once an attempt may have run, a keyed request stays in its group and within its window."""
+        """Whether the request may be sent to this server after its earlier attempts (rule 2).
+
+        Once an attempt may have run, a keyed request stays in its group and within the time for which servers
+        remember its key; one that must not run twice is not repeated.
+        """
         for earlier, sent in job.possibly_ran:
             if job.cls.effect is Effect.ONCE:
                 return False
             if job.cls.effect is Effect.KEYED:
-                # It may only be written when a connection has been opened, and has to arrive within the
-                # window.
+                # It may only be written when a connection has been opened, and has to arrive in that time.
                 if (
                     self._now - sent
                     >= job.cls.key_memory - self._settings.tick - self._settings.limits.connect_timeout
@@ -1038,9 +1047,10 @@
         return int(min(AVERAGING_TIME, answer_times * (max(self._class_latency) or SECOND / 10)))
 
     def _cold_server_has_room(self, server: Server) -> bool:
-        """Rule 4: a server that has just started gets this gateway's share of what it can certainly take.
+        """Whether a cold server may be sent another attempt (rule 4).
 
-        That is derived from the answers of warm servers of its kind, or of any kind where there is none.
+        A server that has just started gets this gateway's share of what it can certainly take. That is
+        derived from the answers of warm servers of its kind, or of any kind where there is none.
         """
         safety = self._settings.safety
         started_at = server.started_at
@@ -1096,8 +1106,8 @@
         self._send(job, server)
 
     def _send(self, job: OpenRequest, server: Server) -> None:
-        left, until_aim = job.deadline - self._now, job.aim_at - self._now - self._settings.tick
-        timeout = left if job.cls.late_worth > 0 else min(left, until_aim)
+        time_left, until_aim = job.deadline - self._now, job.aim_at - self._now - self._settings.tick
+        timeout = time_left if job.cls.late_worth > 0 else min(time_left, until_aim)
         attempts_used, max_attempts = job.attempts - job.unsent_attempts, self._settings.limits.max_attempts
         repeatable = job.cls.effect is not Effect.ONCE and attempts_used + 1 < max_attempts
         # A further attempt gets the time that remains.
@@ -1143,7 +1153,7 @@
             self._update_statistics(server, event, job)
         if job is None:
             return
-        live = job.in_flight.pop(event.attempt, None)
+        attempt = job.in_flight.pop(event.attempt, None)
         if event.result is Result.NOT_SENT and job.unsent_attempts < self._settings.limits.max_attempts:
             # Its server may be draining; limited, as this gateway may be unable to send at all.
             job.unsent_attempts += 1
@@ -1158,8 +1168,8 @@
                 self._correct_count(job, -job.request.units)
             del self._jobs[event.request]
             return
-        if live is not None and not event.result.never_ran:
-            job.possibly_ran.append((live[0].member, live[1]))
+        if attempt is not None and not event.result.never_ran:
+            job.possibly_ran.append((attempt[0].member, attempt[1]))
         if job.in_flight:
             return
         if event.result.never_ran or (job.cls.effect is not Effect.ONCE and self._retry_tokens >= 1):
@@ -1189,9 +1199,11 @@
         sent, limit = self._now - event.elapsed, server.limit
         # A limit that is not reached is not raised; one shared by all servers is not lowered either.
         if self._shared_limit is not None:
-            used = self._in_flight + 1 > max(1.0, self._total_limit() / 2) or self._credit < self._max_aim / 2
+            limit_in_use = (
+                self._in_flight + 1 > max(1.0, self._total_limit() / 2) or self._credit < self._max_aim / 2
+            )
         else:
-            used = len(server.out) + 1 >= limit.max_in_flight / 2
+            limit_in_use = len(server.out) + 1 >= limit.max_in_flight / 2
         late = event.result is Result.FULL
         if event.result in (Result.TIMEOUT, Result.CANCELLED):
             oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
@@ -1200,11 +1212,11 @@
         elif event.result is Result.OK:
             server.abandoned = [sent_at for sent_at in server.abandoned if sent_at > sent]
             late = job is not None and event.elapsed > LATE_ANSWER_SHARE * job.cls.aim
-            if not late and used:
+            if not late and limit_in_use:
                 limit.max_in_flight += (
                     LIMIT_INCREASE / self._settings.fleet_size / max(1.0, limit.max_in_flight)
                 )
-        if late and sent >= limit.lowered_at and (used or self._shared_limit is None):
+        if late and sent >= limit.lowered_at and (limit_in_use or self._shared_limit is None):
             limit.max_in_flight = max(1.0 / self._settings.fleet_size, limit.max_in_flight * LIMIT_DECREASE)
             limit.lowered_at = self._now
 
@@ -1291,10 +1303,10 @@
             server.eject(self._now, self._ejection_time())
             if self._settings.limits.second_copies and job.cls.effect is Effect.REPEATABLE:
                 # It may only be slow, and the attempt runs on there in any case: the first answer counts.
-                other = self._choose_server(job, server.member.server)
-                if other is not None:
+                second_server = self._choose_server(job, server.member.server)
+                if second_server is not None:
                     self._retry_tokens -= 1
-                    self._send(job, other)
+                    self._send(job, second_server)
             elif self._settings.limits.may_cancel:
                 self._actions.append(Cancel(job.request.id, attempt))
 
@@ -1306,7 +1318,10 @@
     # --- answer -----------------------------------------------------------------------------------------
 
     def _end(self, job: OpenRequest, cause: Cause) -> None:
-        """The one final answer where no attempt gave it. Rules 1 and 2 are both enforced here."""
+        """The one final answer where no attempt gave it (rules 1 and 2).
+
+        It is a refusal only where a repeat by the client does no harm, otherwise a failure.
+        """
         for attempt in job.in_flight:
             if self._settings.limits.may_cancel:
                 self._actions.append(Cancel(job.request.id, attempt))
@@ -1343,15 +1358,15 @@
             return
         if event.kind is ListKind.CACHED and self._settings.ask_for_list:
             self._actions.append(Watch(True))
-        named = {member.server: None for member in event.members}
+        listed = {member.server: None for member in event.members}
         if not self._servers and self._settings.fleet_size > INITIAL_LIMIT:
             # One gateway's part of a server's limit is a fraction of an attempt, and it sees little of each
             # server. Separate limits would let every gateway have one attempt in flight at every server.
             self._shared_limit = AttemptLimit(INITIAL_LIMIT / self._settings.fleet_size, self._now)
-            if self._settings.fleet_size > len(named):
+            if self._settings.fleet_size > len(listed):
                 self._sparse_customers, self._call_share = True, 0.5
         if event.kind is not ListKind.CHANGES:
-            for name in [n for n in self._servers if n not in named]:
+            for name in [n for n in self._servers if n not in listed]:
                 del self._servers[name]
         for member in event.members:
             if member.state is State.GONE:
--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -71,7 +71,7 @@
         # Units left in this gateway's share of the ceiling, and the value of `Gateway._ceiling_refilled` at
         # its last refill.
         self.ceiling, self.ceiling_refill_mark = 0.0, 0.0
-        self.quota_rate = 0.0  # of the quota, units a second
+        self.quota_rate = 0.0  # units a second
         # Of an even share of the ceiling; the rate in units a second.
         self.ceiling_refill_rate, self.full = 0.0, 0.0
         self.last_request_at = now - NAME_LIFE  # when a request of the customer last arrived here
@@ -91,21 +91,23 @@
         self.debt = min(debt, self.burst)
         self.excess += debt - self.debt - refund
 
-    def has_room(self, units: float, spread: int, reserve: float, uncertain: float = 0.0) -> bool:
+    def has_room(self, units: float, entry_points: int, reserve: float, uncertain: float = 0.0) -> bool:
         """Whether there is room beside the units that other gateways have not added to the count yet.
 
-        `uncertain` units of the debt are left out. Other gateways are assumed to have as much pending as this
+        `uncertain` units of the debt are left out; `entry_points` is the number of gateways that the
+        customer's requests can come through. Other gateways are assumed to have as much pending as this
         one. This protects a quota at its limit, where one unseen unit is one too many; a customer that is
         always active loses nothing, one that comes in bursts loses a part of each.
         """
         edge = min(
-            MAX_EDGE_RESERVE * self.burst, self.mean_pending * self.others_per_own_unit(spread) + reserve
+            MAX_EDGE_RESERVE * self.burst,
+            self.mean_pending * self.others_per_own_unit(entry_points) + reserve,
         )
         return self.debt - uncertain + units + edge <= max(self.burst, units + edge)
 
-    def others_per_own_unit(self, spread: int) -> float:
+    def others_per_own_unit(self, entry_points: int) -> float:
         """Units that other gateways let through per unit here: from totals, with an even split as prior."""
-        others = max(0.0, self.recent_others) + OTHERS_PRIOR_UNITS * max(0, spread - 1)
+        others = max(0.0, self.recent_others) + OTHERS_PRIOR_UNITS * max(0, entry_points - 1)
         return others / (max(0.0, self.recent_own) + OTHERS_PRIOR_UNITS)
 
 
