--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -50,7 +50,7 @@
         self.total: Callable[[int, float], float] = lambda name, amount: amount  # the counter's answer
         self.lines = tuple(line(number + 1) for number in range(servers))
         self.gateways: list[Gateway] = []
-        self.lives = [0] * settings.fleet_size
+        self.incarnations = [0] * settings.fleet_size
         self.messages = 0
         self._due: list[tuple[int, int, int, int, Event]] = []
         self._order = itertools.count()
@@ -66,7 +66,7 @@
 
     def restart(self, number: int) -> None:
         """Restart a gateway without state; answers to its former incarnation are dropped."""
-        self.lives[number] += 1
+        self.incarnations[number] += 1
         self.gateways[number] = self._new(number)
 
     def request(self, gateway: int, **fields: object) -> int:
@@ -81,20 +81,20 @@
             self.on(gateway, action)
             self._act(gateway, action)
 
-    def later(self, delay: int, gateway: int, event: Event, any_life: bool = False) -> None:
-        incarnation = -1 if any_life else self.lives[gateway]
+    def schedule(self, delay: int, gateway: int, event: Event, any_incarnation: bool = False) -> None:
+        incarnation = -1 if any_incarnation else self.incarnations[gateway]
         heapq.heappush(self._due, (self.now + delay, next(self._order), gateway, incarnation, event))
 
     def _act(self, gateway: int, action: Action) -> None:
         match action:
             case SetTimer():
-                self.later(action.delay, gateway, Timer(action.token))
+                self.schedule(action.delay, gateway, Timer(action.token))
             case Count():
                 total = self.total(action.name, action.amount)
-                self.later(CALL, gateway, Counted(action.name, Result.OK, CALL, total))
+                self.schedule(CALL, gateway, Counted(action.name, Result.OK, CALL, total))
             case Send():
                 outcome = Outcome(action.request, 0, action.server, Result.OK, ANSWER, True)
-                self.later(ANSWER, gateway, outcome)
+                self.schedule(ANSWER, gateway, outcome)
             case Tell() if action.to is not None:
                 self.messages += 1
                 copies = (
@@ -104,7 +104,9 @@
                 )
                 for _ in range(copies):
                     message = PeerMessage(gateway, action.data)
-                    self.later(self.chance.randint(*self.network_delay), action.to, message, any_life=True)
+                    self.schedule(
+                        self.chance.randint(*self.network_delay), action.to, message, any_incarnation=True
+                    )
             case Refuse() | Fail():
                 self.requests.pop(action.request, None)
             case _:
@@ -114,7 +116,7 @@
         """Let time pass up to then."""
         while self._due and self._due[0][0] <= until:
             self.now, _, gateway, incarnation, event = heapq.heappop(self._due)
-            if incarnation in (-1, self.lives[gateway]):
+            if incarnation in (-1, self.incarnations[gateway]):
                 self.feed(gateway, event)
         self.now = until
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,14 +100,14 @@
         self.gateway = Gateway(settings, seed, self.now)
         self.lives: dict[int, Life] = {}
         self.lines: dict[str, Member] = {}
-        self.told_off: dict[str, int] = {}
+        self.unavailable_since: dict[str, int] = {}  # servers that are draining or gone
         self.timers: list[tuple[int, int]] = []
         self.calls: list[Count] = []
         self.actions: list[Action] = []
         # Bucket of this gateway's share of the ceiling, by customer: level and time.
-        self.passed: dict[int, tuple[float, int]] = {}
+        self.ceiling_levels: dict[int, tuple[float, int]] = {}
         self.next_id = 1
-        self.has_counted = settings.counter is not None  # a removed counter still takes refunds
+        self.had_counter = settings.counter is not None  # a counter that was removed still takes refunds
         if servers:
             self.members(*(line(number + 1) for number in range(servers)), kind=ListKind.CACHED)
 
@@ -123,19 +123,19 @@
     def members(self, *lines: Member, kind: ListKind = ListKind.CHANGES) -> list[Action]:
         if kind is not ListKind.CHANGES:
             for name in [n for n in self.lines if n not in {entry.server for entry in lines}]:
-                self.told_off.setdefault(name, self.now)
+                self.unavailable_since.setdefault(name, self.now)
         for entry in lines:
             self.lines[entry.server] = entry
             if entry.state is State.READY:
-                self.told_off.pop(entry.server, None)
+                self.unavailable_since.pop(entry.server, None)
             else:
-                self.told_off.setdefault(entry.server, self.now)
+                self.unavailable_since.setdefault(entry.server, self.now)
         return self.feed(Members(kind, 1, lines))
 
     def adopt(self, settings: Settings) -> list[Action]:
         """Change the deployment's settings."""
         self.settings = settings
-        self.has_counted |= settings.counter is not None
+        self.had_counter |= settings.counter is not None
         return self.feed(NewSettings(settings))
 
     def request(
@@ -243,15 +243,15 @@
                     raise RuleBroken("cancelled an attempt where that is not allowed")
             case SetTimer():
                 if action.delay < 0:
-                    raise RuleBroken("a timer in the past")
+                    raise RuleBroken("set a timer with a negative delay")
                 self.timers.append((self.now + max(action.delay, self.settings.tick), action.token))
             case Count():
-                if not self.has_counted:
-                    raise RuleBroken("called a counter, and the deployment has none")
+                if not self.had_counter:
+                    raise RuleBroken("called a counter in a deployment without one")
                 self.calls.append(action)
             case Tell():
                 if not self.settings.limits.peers:
-                    raise RuleBroken("spoke to another gateway where that is not allowed")
+                    raise RuleBroken("sent a message to another gateway where that is not allowed")
             case Probe():
                 if not self.settings.limits.may_probe:
                     raise RuleBroken("probed a server where that is not allowed")
@@ -264,11 +264,11 @@
         if record.over:
             raise RuleBroken(f"request {action.request} sent after its end")
         if record.live and not limits.second_copies:
-            raise RuleBroken("two attempts out at once")
+            raise RuleBroken("two attempts of a request in flight at once")
         if len(record.sent) - min(record.unsent, limits.max_attempts) >= limits.max_attempts:
             raise RuleBroken("too many attempts")
-        if self.now > self.told_off.get(action.server, self.now) + self.settings.safety.drain_grace:
-            raise RuleBroken(f"{action.server} was told off")
+        if self.now > self.unavailable_since.get(action.server, self.now) + self.settings.safety.drain_grace:
+            raise RuleBroken(f"sent to {action.server} after its drain grace")
         earlier = record.ran + [record.sent[n][:2] for n in sorted(record.live)]
         for server, sent in earlier:
             if cls.effect is Effect.ONCE:
@@ -280,7 +280,9 @@
                 )
                 # The connection may have to be opened first.
                 if not same or self.now + limits.connect_timeout - sent > cls.key_memory:
-                    raise RuleBroken("a keyed request left its group or its time")
+                    raise RuleBroken(
+                        "a keyed request was repeated outside its group or after its key expired"
+                    )
         if not record.sent:
             self.check_ceiling(record.request)
         until = min(record.deadline, self.now + action.timeout) if action.timeout else record.deadline
@@ -300,14 +302,14 @@
         if plan.ceiling_rate <= 0:
             return
         share = 1 / request.entry_points
-        level, at = self.passed.get(request.customer, (plan.ceiling_burst * share, self.now))
+        level, at = self.ceiling_levels.get(request.customer, (plan.ceiling_burst * share, self.now))
         level = (
             min(plan.ceiling_burst * share, level + plan.ceiling_rate * share * (self.now - at) / SECOND)
             - request.units
         )
         if level < -1e-6:
             raise RuleBroken("over this gateway's share of the ceiling")
-        self.passed[request.customer] = (level, self.now)
+        self.ceiling_levels[request.customer] = (level, self.now)
 
 
 def kinds(actions: list[Action]) -> list[str]:
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -77,7 +77,9 @@
         member = replace(line(1), state=State.READY, started_at=self.started)
         for number in range(len(self.gateways.gateways)):
             change = Members(ListKind.CHANGES, 2, (member,))
-            self.gateways.later(int(self.rng.uniform(0.0, max_delay) * SECOND), number, change, any_life=True)
+            self.gateways.schedule(
+                int(self.rng.uniform(0.0, max_delay) * SECOND), number, change, any_incarnation=True
+            )
 
 
 @pytest.mark.parametrize("fleet", [4, 20, 30, 200])
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -108,7 +108,7 @@
     assert limit <= sends_of(driver, 60) <= 2 * limit
     driver.wait(500 * MS)
     driver.finish()
-    assert sends_of(driver, 1) == 1, "what has ended makes room"
+    assert sends_of(driver, 1) == 1, "attempts that ended make room"
 
 
 def test_a_gateway_of_forty_sends_more_after_timely_answers_and_less_after_late_ones() -> None:
@@ -132,10 +132,10 @@
 def test_a_limit_that_is_more_than_half_used_grows_before_anything_is_refused() -> None:
     driver = Driver(FORTY_GATEWAYS, servers=60)
     for _ in range(60):
-        assert sends_of(driver, 4) == 4, "of six"
+        assert sends_of(driver, 4) == 4, "the limit is six"
         driver.wait(250 * MS)
         driver.finish()
-    assert driver.gateway._total_limit() > 8.0, "twice what is out"
+    assert driver.gateway._total_limit() > 8.0, "twice the attempts in flight"
 
 
 def test_a_gateway_of_forty_may_send_to_every_server_where_there_are_more_of_them() -> None:
@@ -163,7 +163,7 @@
             probe.random()
             count += 1
         draws.append(count)
-    assert 0 < max(draws) <= 3 * LOOK, "one for which server, two for its chance"
+    assert 0 < max(draws) <= 3 * LOOK, "one draw for the server, two for its random factor"
 
 
 def test_all_servers_are_evaluated_if_none_of_the_sample_is_suitable() -> None:
@@ -171,11 +171,11 @@
     picked: Counter[str] = Counter()
     for customer in range(4 * 200):  # four at each server, its limit
         sent = [a for a in driver.request(customer=customer) if isinstance(a, Send)]
-        assert sent, f"{len(picked)} servers were found"
+        assert sent, f"no server was found after {len(picked)} servers were picked"
         picked[sent[0].server] += 1
     assert set(picked.values()) == {4}
     driver.wait(30 * MS)  # so that cached sums expire
-    assert kinds(driver.request(customer=999)) == ["Refuse"], "all are full"
+    assert kinds(driver.request(customer=999)) == ["Refuse"], "all servers are at their limit"
 
 
 def test_many_servers_share_the_load_evenly() -> None:
@@ -202,7 +202,7 @@
     while kinds(driver.request(customer=CUSTOMER))[-1] == "Send":
         driver.finish()
         again += 1
-    assert again <= 2, "what 40 seconds have refilled"
+    assert again <= 2, "only what 40 seconds have refilled"
 
 
 def test_customers_that_are_fully_refilled_are_evicted() -> None:
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -66,7 +66,7 @@
 
 def test_a_gateway_starts_with_its_whole_share() -> None:
     subject = GatewayUnderTest()
-    assert subject.send_all(SECOND) == 10, "it starts empty, and fills"
+    assert subject.send_all(SECOND) == 10, "it starts empty and is refilled"
     assert subject.send_all(60 * SECOND) == 20
 
 
@@ -74,12 +74,12 @@
     subject = GatewayUnderTest()
     assert subject.send_all(SECOND) == 10
     subject.gateway.handle(61 * SECOND, Share(0.5))
-    assert subject.send_all(61 * SECOND) == 10, "half of the 20 that had come"
-    assert subject.send_all(62 * SECOND) == 5, "and half of the rate from then on"
+    assert subject.send_all(61 * SECOND) == 10, "half of the 20 units saved up"
+    assert subject.send_all(62 * SECOND) == 5, "half of the rate from then on"
     subject.gateway.handle(100 * SECOND, Share(0.0))
     assert subject.send_all(200 * SECOND) == 0
     subject.gateway.handle(300 * SECOND, Share(1.0))
-    assert subject.send_all(300 * SECOND) == 0, "what is taken on starts empty"
+    assert subject.send_all(300 * SECOND) == 0, "a part that is taken over starts empty"
     assert subject.send_all(301 * SECOND) == 10
 
 
@@ -105,7 +105,7 @@
     subject = GatewayUnderTest()
     subject.send_all(SECOND)
     subject.gateway.handle(2 * SECOND, Share(2.0))
-    assert subject.send_all(2 * SECOND) == 10, "of the second before, at the old part"
+    assert subject.send_all(2 * SECOND) == 10, "refilled in the second before, at the old part"
     assert subject.send_all(3 * SECOND) == 20
 
 
@@ -130,7 +130,7 @@
             subject.gateway.handle(4 * SECOND, Share(0.0))
             subject.gateway.handle(4 * SECOND, Share(1.0))
         assert subject.send_all(5 * SECOND) == (0 if moved else 20)
-        assert subject.send_all(6 * SECOND) == 10, "and is refilled as ever"
+        assert subject.send_all(6 * SECOND) == 10, "refilled at the usual rate"
 
 
 def test_parts_that_move_between_gateways_never_exceed_the_whole_ceiling() -> None:
