--- a/bench/choice.py
+++ b/bench/choice.py
@@ -95,15 +95,15 @@
 def measure(rounds: int) -> None:
     """Both ways on the same days."""
     print(f"choice: {BOXES} boxes of {CORES} cores, {SECONDS} s of simulated time, {rounds} seeds")
-    kept = rules.MANY
+    kept = rules.SAMPLING_THRESHOLD
     for load in LOADS:
-        for way, many in (("all boxes", 10**9), (f"{rules.LOOK} drawn", kept)):
-            rules.MANY = many
+        for way, many in (("all boxes", 10**9), (f"{rules.SAMPLE_SIZE} drawn", kept)):
+            rules.SAMPLING_THRESHOLD = many
             found, refused, spent = list[int](), 0, 0.0
             for seed in range(rounds):
                 spans, turned, cpu = _play(load, seed)
                 found, refused, spent = found + spans, refused + turned, spent + cpu
-            rules.MANY = kept
+            rules.SAMPLING_THRESHOLD = kept
             found.sort()
             p50, p99 = (found[int(part * len(found))] / 1e3 for part in (0.5, 0.99))
             each = spent / (len(found) + refused) * 1e6
--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -158,9 +158,9 @@
 # Servers that a gateway of a large fleet sends to; a choice then costs the same in a fleet of any size.
 SUBSET_SIZE = 8
 # Above this number of servers a choice draws some at random, and sums over all servers are cached.
-MANY = 64
+SAMPLING_THRESHOLD = 64
 # Servers drawn: the best of two gives most of what the best of all would give, and many may be unsuitable.
-LOOK = 24
+SAMPLE_SIZE = 24
 # Microseconds for which results over all servers are cached; short compared with any answer time.
 CACHE_TIME = 20_000
 # Microseconds after which the load that a server last reported says little.
@@ -881,7 +881,7 @@
             spent = self._in_flight * (max(self._class_latency) or TOTAL_WAIT_SHARE * self._max_aim)
             return self._credit > spent + CREDIT_RESERVE * priority * self._max_aim
         occupied, limit = self._room_sums
-        if len(self._ready) <= MANY or self._now - self._room_sums_at >= CACHE_TIME:
+        if len(self._ready) <= SAMPLING_THRESHOLD or self._now - self._room_sums_at >= CACHE_TIME:
             # Attempts beyond one server's limit, perhaps all of them abandoned, take no room at the other
             # servers.
             oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
@@ -981,10 +981,10 @@
     def _candidates(self) -> Iterable[Server | None]:
         """All servers; of many, some drawn at random, then None, then all in case none of these will do."""
         subset = self._subset
-        if len(subset) <= MANY:
+        if len(subset) <= SAMPLING_THRESHOLD:
             return subset
         draw = self._rng.random
-        return chain([subset[int(draw() * len(subset))] for _ in range(LOOK)], (None,), subset)
+        return chain([subset[int(draw() * len(subset))] for _ in range(SAMPLE_SIZE)], (None,), subset)
 
     def _may_repeat_on(self, job: OpenRequest, server: Server) -> bool:
         """Whether the request may be sent to this server after its earlier attempts (rule 2).
@@ -1010,7 +1010,7 @@
 
     def _ejected_servers(self) -> dict[str, None]:
         """The worst of the servers that are ejected, or silent for so long that they are about to be."""
-        if len(self._subset) > MANY and self._now - self._ejected_at < CACHE_TIME:
+        if len(self._subset) > SAMPLING_THRESHOLD and self._now - self._ejected_at < CACHE_TIME:
             return self._ejected
         since = self._now - SILENCE_ANSWER_TIMES * (max(self._class_latency) or SECOND / 10)
         suspects = [
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -12,7 +12,7 @@
 from tests.helpers import KEYED, MS, SECOND, SETTINGS, START, Driver, line
 from tests.test_drill import FACTS
 
-MANY = replace(SETTINGS, counter=None, fleet_size=1)
+WITHOUT_COUNTER = replace(SETTINGS, counter=None, fleet_size=1)
 
 
 def servers_picked(
@@ -30,20 +30,20 @@
 
 def test_a_server_with_a_high_reported_rate_gets_few_requests() -> None:
     # 80 requests a second that take 50 ms each are 4 in flight; the other server has a tenth of one.
-    driver = Driver(replace(MANY, report_fields=("qps",)), servers=2)
+    driver = Driver(replace(WITHOUT_COUNTER, report_fields=("qps",)), servers=2)
     busy, calm = sorted(driver.lines)
     picked = servers_picked(driver, {busy: (80.0,), calm: (2.0,)})
     assert picked[busy] < picked[calm] / 4
 
 
 def test_a_report_without_load_fields_does_not_make_a_server_look_idle() -> None:
-    driver = Driver(replace(MANY, report_fields=("uptime",)), servers=2)
+    driver = Driver(replace(WITHOUT_COUNTER, report_fields=("uptime",)), servers=2)
     servers_picked(driver, dict.fromkeys(driver.lines, (7.0,)))
     assert all(server.load_updated_at == START for server in driver.gateway._servers.values())
 
 
 def test_a_server_of_the_same_zone_is_preferred_while_it_is_not_busier() -> None:
-    driver = Driver(replace(MANY, report_fields=("inflight",), zone=1), servers=0)
+    driver = Driver(replace(WITHOUT_COUNTER, report_fields=("inflight",), zone=1), servers=0)
     driver.members(line(1, zone=0), line(2, zone=1))
     reports = {"10.0.0.1:80": (1.0,), "10.0.0.2:80": (1.0,)}
     picked = servers_picked(driver, reports)
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("cls", "refused"), [(0, True), (KEYED, False)])
 def test_the_class_with_the_least_worth_for_its_work_is_refused_first(cls: int, refused: bool) -> None:
     # Both classes take equally long, and the keyed one earns twice as much. Of 16 attempts 14 are in flight.
-    driver = Driver(MANY, servers=4)
+    driver = Driver(WITHOUT_COUNTER, servers=4)
     for customer in range(40):
         send = driver.admitted(customer=customer, cls=KEYED if customer % 2 else 0)
         driver.wait(50 * MS)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from mothgap.interface import Count, Counted, Effect, ListKind, Member, Plan, Result, Send, State
-from mothgap.rules import INITIAL_LIMIT, LOOK, SUBSET_SIZE
+from mothgap.rules import INITIAL_LIMIT, SAMPLE_SIZE, SUBSET_SIZE
 from tests.helpers import (
     CEILING,
     CUSTOMER,
@@ -163,7 +163,7 @@
             probe.random()
             count += 1
         draws.append(count)
-    assert 0 < max(draws) <= 3 * LOOK, "one draw for the server, two for its random factor"
+    assert 0 < max(draws) <= 3 * SAMPLE_SIZE, "one draw for the server, two for its random factor"
 
 
 def test_all_servers_are_evaluated_if_none_of_the_sample_is_suitable() -> None:
