--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -208,7 +208,7 @@
         self._mean_latency = 0.0  # moving average of answer times, over all classes
         self._mean_load = 0.0  # moving average of reported loads
         self._customers: OrderedDict[int, Customer] = OrderedDict()
-        self._jobs: dict[int, OpenRequest] = {}
+        self._open_requests: dict[int, OpenRequest] = {}
         self._open_calls: dict[int, list[int | None]] = {}  # count name: requests of its open calls
         self._call_amounts: dict[int, list[tuple[Customer, float]]] = {}
         self._class_latency = [0.0 for _ in settings.classes]  # moving average of answer times by class
@@ -276,7 +276,7 @@
             case Expired():
                 self._on_expired(event)
             case Unsure():
-                if (job := self._jobs.get(event.request)) is not None:
+                if (job := self._open_requests.get(event.request)) is not None:
                     job.unsure = event.unsure
             case PeerMessage():
                 self._on_peer_message(event)
@@ -322,7 +322,7 @@
             )
             event = Stopping(refuse_from, until)
         self._stopping = event
-        for job in self._jobs.values():
+        for job in self._open_requests.values():
             job.cap_deadline(event.until)
 
     # --- meter ------------------------------------------------------------------------------------------
@@ -331,14 +331,14 @@
         self._current_request = request.id
         plan, cls = self._settings.plans[request.plan], self._settings.classes[request.cls]
         customer = self._get_customer(request.customer, plan, request.entry_points)
-        job = self._jobs[request.id] = OpenRequest(request, cls, customer, self._now)
+        job = self._open_requests[request.id] = OpenRequest(request, cls, customer, self._now)
         job.aim_at -= self._time_spent(request, cls)
         job.counted_units = request.units if request.counted else 0.0  # refunded if it is not sent on
         customer.last_request_at = self._now
         if self._stopping is not None:
             job.cap_deadline(self._stopping.until)
             if self._now >= self._stopping.refuse_from:
-                self._end(job, Cause.STOPPING)
+                self._finish(job, Cause.STOPPING)
                 return
         self._retry_tokens = min(MAX_RETRY_TOKENS, self._retry_tokens + RETRY_SHARE)
         refusal_rate = (customer.recent_refusals + self._plan_refusal_rate[request.plan]) / (
@@ -348,11 +348,11 @@
         likely_over_quota = refusal_rate * (1.0 + plan.beyond_cost - plan.beyond_worth) >= 1.0
         too_late = min(self._max_wait_for_total(job), job.aim_at - self._now) <= self._settings.tick
         if too_late:
-            self._end(job, Cause.NO_TIME)  # also where too little time is left for a call and an answer
+            self._finish(job, Cause.NO_TIME)  # also where too little time is left for a call and an answer
         elif not self._within_ceiling(job, plan) and not self._can_borrow(job, plan):
-            self._end(job, Cause.CEILING)
+            self._finish(job, Cause.CEILING)
         elif not self._has_room(self._refusal_priority(job, plan, likely_over_quota)):
-            self._end(job, Cause.ROOM)
+            self._finish(job, Cause.ROOM)
         elif request.counted and request.sent:
             self._borrow_if_short(job, plan)
             self._on_quota_granted(job, plan)
@@ -363,7 +363,7 @@
             and self._known_over_quota(job, plan)
         ):
             # Known to have no room: its units would only be refunded, and retries would overload the counter.
-            self._end(job, Cause.QUOTA)
+            self._finish(job, Cause.QUOTA)
         else:
             self._check_quota(job, plan, likely_over_quota, refusal_rate)
 
@@ -383,7 +383,7 @@
                     self._now + BREAKER_TRIAL_INTERVAL * self._settings.counter.time_limit
                 )
                 job.counted_units = request.units
-                self._count(job, plan, None, 0.0 if request.counted else job.counted_units)
+                self._add_to_count(job, plan, None, 0.0 if request.counted else job.counted_units)
             self._decide_locally(job, plan)
         else:
             share = self._call_share
@@ -403,13 +403,13 @@
                     else request.units / share
                 )
                 job.counted_units = job.counted_units or amount
-                self._count(job, plan, request.id, 0.0 if request.counted else amount)
+                self._add_to_count(job, plan, request.id, 0.0 if request.counted else amount)
                 self._borrow_if_short(job, plan)
                 max_wait = self._max_wait_for_total(job)
                 if self._settings.counter.time_limit > max_wait:
                     self._set_timer(max_wait, request.id, None)
             elif likely_over_quota:
-                self._end(job, Cause.QUOTA)
+                self._finish(job, Cause.QUOTA)
             else:
                 self._decide_locally(job, plan)
 
@@ -566,7 +566,7 @@
             job.customer.pending = max(0.0, job.customer.pending)
         return name, length
 
-    def _count(self, job: OpenRequest, plan: Plan, waiting: int | None, units: float) -> None:
+    def _add_to_count(self, job: OpenRequest, plan: Plan, waiting: int | None, units: float) -> None:
         """Add to the customer's count of this window; `waiting` is the request that waits for the total."""
         name, length = self._enter_window(job, plan)
         # Pending units that have been refilled since need not be added any more.
@@ -580,7 +580,7 @@
         customer, amount = self._call_amounts[event.name].pop(0)
         if not self._open_calls[event.name]:
             del self._open_calls[event.name], self._call_amounts[event.name]
-        job = self._jobs.get(waiting) if waiting is not None else None
+        job = self._open_requests.get(waiting) if waiting is not None else None
         self._adapt_call_share(event)
         if event.result is not Result.OK:
             self._on_call_failed(event, customer, amount)
@@ -605,7 +605,7 @@
             over_quota - self._plan_refusal_rate[job.request.plan]
         )
         if over_quota:
-            self._end(job, Cause.QUOTA)
+            self._finish(job, Cause.QUOTA)
         else:
             customer.debt += job.request.units
             self._on_quota_granted(job, plan)
@@ -702,7 +702,7 @@
             return
         units *= job.counted_units / job.request.units
         if self._call_share >= 1.0 and self._counter_failures < BREAKER_THRESHOLD:
-            self._count(job, plan, None, units)
+            self._add_to_count(job, plan, None, units)
         else:
             job.customer.pending += units
 
@@ -738,7 +738,7 @@
                 customer.pending, job.counted_units = customer.pending + job.request.units, job.request.units
             self._on_quota_granted(job, plan)
         else:
-            self._end(job, Cause.QUOTA)
+            self._finish(job, Cause.QUOTA)
 
     # --- ceilings ---------------------------------------------------------------------------------------
 
@@ -772,23 +772,23 @@
             self._start_attempt(job)
             low = customer.ceiling < LOW_CEILING_UNITS * self._settings.units_top
             if low and self._can_borrow(job, plan) and not self._loan_expected(job):
-                self._ask(job, plan, 1)  # for the next request
+                self._ask_peers(job, plan, 1)  # for the next request
         elif self._can_borrow(job, plan) and self._loan_expected(job):
             customer.waits.append(job)
             self._set_timer(min(LIFE, self._max_wait_for_total(job)), job.request.id, CEILING_WAIT_TIMER)
         else:
-            self._end(job, Cause.CEILING)
+            self._finish(job, Cause.CEILING)
 
     def _borrow_if_short(self, job: OpenRequest, plan: Plan) -> None:
         """Ask for missing ceiling units at once, while the total is on its way."""
         if job.customer.ceiling < job.request.units and self._can_borrow(job, plan):
-            self._ask(job, plan, INITIAL_PEERS_ASKED)
+            self._ask_peers(job, plan, INITIAL_PEERS_ASKED)
 
     def _loan_expected(self, job: OpenRequest) -> bool:
         """Whether questions to other gateways for its customer are open."""
         return self._questions.out(job.request.customer, self._now) > 0
 
-    def _ask(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
+    def _ask_peers(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
         request, customer = job.request, job.customer
         capacity = customer.full * self._ceiling_part
         wanted = max(request.units - customer.ceiling, (capacity - customer.ceiling) / gateways)
@@ -854,10 +854,10 @@
                 self._start_attempt(job)
                 continue
             if not self._loan_expected(job):
-                self._ask(job, plan, 1)
+                self._ask_peers(job, plan, 1)
             if self._loan_expected(job):
                 return
-            self._end(job, Cause.CEILING)
+            self._finish(job, Cause.CEILING)
 
     # --- choose -----------------------------------------------------------------------------------------
 
@@ -1097,15 +1097,15 @@
             job.attempts - job.unsent_attempts >= self._settings.limits.max_attempts
             or until_aim <= self._settings.tick
         ):
-            self._end(job, Cause.ATTEMPTS if job.attempts else Cause.NO_TIME)
+            self._finish(job, Cause.ATTEMPTS if job.attempts else Cause.NO_TIME)
             return
         server = self._choose_server(job, avoid)
         if server is None:
-            self._end(job, Cause.ROOM)
+            self._finish(job, Cause.ROOM)
             return
-        self._send(job, server)
+        self._send_to(job, server)
 
-    def _send(self, job: OpenRequest, server: Server) -> None:
+    def _send_to(self, job: OpenRequest, server: Server) -> None:
         time_left, until_aim = job.deadline - self._now, job.aim_at - self._now - self._settings.tick
         timeout = time_left if job.cls.late_worth > 0 else min(time_left, until_aim)
         attempts_used, max_attempts = job.attempts - job.unsent_attempts, self._settings.limits.max_attempts
@@ -1144,7 +1144,7 @@
     def _on_outcome(self, event: Outcome) -> None:
         self._current_request = event.request
         server = self._servers.get(event.server)
-        job = self._jobs.get(event.request)
+        job = self._open_requests.get(event.request)
         self._accrue_credit()
         self._in_flight = max(0, self._in_flight - 1)
         if server is not None:
@@ -1166,7 +1166,7 @@
                 self._correct_count(job, units)
             elif job.unsent_attempts == job.attempts:  # the client disconnected before a byte was sent
                 self._correct_count(job, -job.request.units)
-            del self._jobs[event.request]
+            del self._open_requests[event.request]
             return
         if attempt is not None and not event.result.never_ran:
             job.possibly_ran.append((attempt[0].member, attempt[1]))
@@ -1177,11 +1177,11 @@
                 self._retry_tokens -= 1
             self._start_attempt(job, event.server)
         else:
-            self._end(job, Cause.ATTEMPTS)
+            self._finish(job, Cause.ATTEMPTS)
 
     def _on_expired(self, event: Expired) -> None:
         """The client disconnected. Attempts in flight run on; units counted but never sent are refunded."""
-        job = self._jobs.pop(event.request, None)
+        job = self._open_requests.pop(event.request, None)
         if job is not None and job in job.customer.waits:
             job.customer.waits.remove(job)
         if job is not None and job.attempts == 0:
@@ -1276,7 +1276,7 @@
             self._actions.append(Watch(True))
             return
         request, attempt = self._timers.pop(event.token, (-1, None))
-        job = self._jobs.get(request)
+        job = self._open_requests.get(request)
         if job is None:
             return
         self._current_request = request
@@ -1287,7 +1287,7 @@
                 if self._within_ceiling(job, self._settings.plans[job.request.plan]):
                     self._start_attempt(job)
                 else:
-                    self._end(job, Cause.CEILING)
+                    self._finish(job, Cause.CEILING)
                 self._resume_waiting(job.customer)
             return
         if attempt is None:
@@ -1306,7 +1306,7 @@
                 second_server = self._choose_server(job, server.member.server)
                 if second_server is not None:
                     self._retry_tokens -= 1
-                    self._send(job, second_server)
+                    self._send_to(job, second_server)
             elif self._settings.limits.may_cancel:
                 self._actions.append(Cancel(job.request.id, attempt))
 
@@ -1317,7 +1317,7 @@
 
     # --- answer -----------------------------------------------------------------------------------------
 
-    def _end(self, job: OpenRequest, cause: Cause) -> None:
+    def _finish(self, job: OpenRequest, cause: Cause) -> None:
         """The one final answer where no attempt gave it (rules 1 and 2).
 
         It is a refusal only where a repeat by the client does no harm, otherwise a failure.
@@ -1336,7 +1336,7 @@
             self._actions.append(Fail(job.request.id, cause))
         if job in job.customer.waits:
             job.customer.waits.remove(job)
-        del self._jobs[job.request.id]
+        del self._open_requests[job.request.id]
 
     def _retry_after(self, job: OpenRequest) -> int:
         """Time to refill about one unit, or until these units fit, but never past the end of the window."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -308,7 +308,7 @@
         send = driver.admitted(customer=n)
         driver.outcome(send.request)
     driver.wait(5 * SECOND)
-    assert not driver.gateway._jobs
+    assert not driver.gateway._open_requests
     assert not driver.gateway._open_calls
     assert not driver.gateway._timers
 
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -47,25 +47,25 @@
         if breaks:
             raise Fault
 
-    def _count(self, *given: Any) -> None:
+    def _add_to_count(self, *given: Any) -> None:
         with self._step():
-            super()._count(*given)
+            super()._add_to_count(*given)
 
     def _set_timer(self, *given: Any) -> None:
         with self._step():
             super()._set_timer(*given)
 
-    def _ask(self, *given: Any) -> None:
+    def _ask_peers(self, *given: Any) -> None:
         with self._step():
-            super()._ask(*given)
+            super()._ask_peers(*given)
 
-    def _send(self, *given: Any) -> None:
+    def _send_to(self, *given: Any) -> None:
         with self._step():
-            super()._send(*given)
+            super()._send_to(*given)
 
-    def _end(self, *given: Any) -> None:
+    def _finish(self, *given: Any) -> None:
         with self._step():
-            super()._end(*given)
+            super()._finish(*given)
 
 
 class Asked:
@@ -244,7 +244,7 @@
                 assert call.cls == REPEATABLE or call.answers != ["refused"] or not may_have_run
             await finish(rig)
             await rig.settle()
-            assert not rig.engine._open and not rig.engine._taken and not module._jobs  # nothing is kept
+            assert not rig.engine._open and not rig.engine._taken and not module._open_requests  # nothing is kept
             assert not any(server.out for server in module._servers.values())
             rig.tally.read({}, {})
             totals = dict(rig.tally.totals)
@@ -287,7 +287,7 @@
         call.served = broken  # type: ignore[method-assign, assignment]
         await rig.count()
         await rig.end(Result.OK)
-        assert not rig.engine._open and not rig.engine._module._jobs
+        assert not rig.engine._open and not rig.engine._module._open_requests
 
     run(play)
 
--- a/tests/test_without_counter.py
+++ b/tests/test_without_counter.py
@@ -42,7 +42,7 @@
     # It waits for ceiling units from other gateways.
     assert "Tell" in kinds(actions) and "Refuse" not in kinds(actions)
     driver.expire(1)
-    assert not driver.gateway._jobs
+    assert not driver.gateway._open_requests
 
 
 def test_units_are_refunded_to_a_counter_that_a_reload_removed() -> None:
