--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -492,7 +492,7 @@
             if (
                 candidate is not customer
                 and not candidate.open_requests
-                and not candidate.waits
+                and not candidate.waiting
                 and self._is_evictable(candidate)
             ):
                 del self._customers[other_id]
@@ -508,7 +508,7 @@
         gateways = max(1, entry_points)
         customer.quota_rate = plan.rate
         capacity = plan.ceiling_burst - (held_back(plan) if self._settings.limits.peers else 0.0)
-        customer.ceiling_refill_rate, customer.full = (
+        customer.ceiling_refill_rate, customer.ceiling_capacity = (
             plan.ceiling_rate / gateways,
             max(0.0, capacity) / gateways,
         )
@@ -521,7 +521,8 @@
         quota_refilled = not customer.quota_rate or customer.debt <= customer.quota_rate * elapsed
         self._refill_ceiling(customer)  # units may have been lent since
         ceiling_refilled = (
-            not customer.ceiling_refill_rate or customer.full * self._ceiling_part <= customer.ceiling
+            not customer.ceiling_refill_rate
+            or customer.ceiling_capacity * self._ceiling_part <= customer.ceiling_units
         )
         return elapsed > NAME_LIFE / 2 / SECOND and quota_refilled and ceiling_refilled
 
@@ -529,10 +530,13 @@
         """Refill this gateway's share of the customer's ceiling up to now."""
         refilled = self._ceiling_refilled + self._ceiling_part * (self._now - self._ceiling_refilled_at)
         added = customer.ceiling_refill_rate * (refilled - customer.ceiling_refill_mark) / SECOND
-        capacity = customer.full * self._ceiling_part
-        if customer.waits:  # units borrowed for these may exceed what is ever saved up here
-            capacity = max(capacity, customer.ceiling)
-        customer.ceiling, customer.ceiling_refill_mark = min(capacity, customer.ceiling + added), refilled
+        capacity = customer.ceiling_capacity * self._ceiling_part
+        if customer.waiting:  # units borrowed for these may exceed what is ever saved up here
+            capacity = max(capacity, customer.ceiling_units)
+        customer.ceiling_units, customer.ceiling_refill_mark = (
+            min(capacity, customer.ceiling_units + added),
+            refilled,
+        )
 
     def _on_share(self, part: float) -> None:
         """Change this gateway's part of all ceilings.
@@ -543,7 +547,7 @@
         if part < self._ceiling_part:
             for customer in self._customers.values():
                 self._refill_ceiling(customer)
-                customer.ceiling *= part / self._ceiling_part
+                customer.ceiling_units *= part / self._ceiling_part
         self._ceiling_refilled += self._ceiling_part * (self._now - self._ceiling_refilled_at)
         self._ceiling_part, self._ceiling_refilled_at = part, self._now
         if part <= 0:
@@ -748,7 +752,7 @@
         They hold whatever the counter says.
         """
         return self._within_concurrency(job, plan) and (
-            plan.ceiling_rate <= 0 or job.request.sent or job.customer.ceiling >= job.request.units
+            plan.ceiling_rate <= 0 or job.request.sent or job.customer.ceiling_units >= job.request.units
         )
 
     def _within_concurrency(self, job: OpenRequest, plan: Plan) -> bool:
@@ -770,18 +774,18 @@
         self._refill_ceiling(customer)
         if self._within_ceiling(job, plan):
             self._start_attempt(job)
-            low = customer.ceiling < LOW_CEILING_UNITS * self._settings.units_top
+            low = customer.ceiling_units < LOW_CEILING_UNITS * self._settings.units_top
             if low and self._can_borrow(job, plan) and not self._loan_expected(job):
                 self._ask_peers(job, plan, 1)  # for the next request
         elif self._can_borrow(job, plan) and self._loan_expected(job):
-            customer.waits.append(job)
+            customer.waiting.append(job)
             self._set_timer(min(LIFE, self._max_wait_for_total(job)), job.request.id, CEILING_WAIT_TIMER)
         else:
             self._finish(job, Cause.CEILING)
 
     def _borrow_if_short(self, job: OpenRequest, plan: Plan) -> None:
         """Ask for missing ceiling units at once, while the total is on its way."""
-        if job.customer.ceiling < job.request.units and self._can_borrow(job, plan):
+        if job.customer.ceiling_units < job.request.units and self._can_borrow(job, plan):
             self._ask_peers(job, plan, INITIAL_PEERS_ASKED)
 
     def _loan_expected(self, job: OpenRequest) -> bool:
@@ -790,8 +794,8 @@
 
     def _ask_peers(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
         request, customer = job.request, job.customer
-        capacity = customer.full * self._ceiling_part
-        wanted = max(request.units - customer.ceiling, (capacity - customer.ceiling) / gateways)
+        capacity = customer.ceiling_capacity * self._ceiling_part
+        wanted = max(request.units - customer.ceiling_units, (capacity - customer.ceiling_units) / gateways)
         ask = Ask(request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry)
         for _ in range(min(gateways, MAX_PEERS_ASKED - job.peers_asked)):
             tell = self._questions.ask(ask, self._settings.fleet_size, self._now)
@@ -809,7 +813,7 @@
             customer = self._customers.get(message.customer)
             if units is not None and customer is not None:
                 self._refill_ceiling(customer)
-                customer.ceiling += units
+                customer.ceiling_units += units
                 self._resume_waiting(customer)
                 # Units that no request waits for are saved up within this gateway's part.
                 self._refill_ceiling(customer)
@@ -836,21 +840,21 @@
         if customer is None and plan.ceiling_rate > 0:
             customer = self._get_customer(ask.customer, plan, ask.spread)
         units = 0.0
-        if customer is not None and customer.ceiling_refill_rate > 0 and not customer.waits:
+        if customer is not None and customer.ceiling_refill_rate > 0 and not customer.waiting:
             self._refill_ceiling(customer)
             kept_share = 0.5 if self._now - customer.last_request_at < BUSY_CUSTOMER_TIME else 0.0
-            units = max(0.0, min(ask.units, customer.ceiling * (1.0 - kept_share)))
-            customer.ceiling -= units
+            units = max(0.0, min(ask.units, customer.ceiling_units * (1.0 - kept_share)))
+            customer.ceiling_units -= units
         self._actions.append(Tell(sender, write(Give(ask.customer, ask.number, units))))
 
     def _resume_waiting(self, customer: Customer) -> None:
         """Resume waiting requests in order: each is sent, asks once more, or is refused if none is left."""
-        while customer.waits:
-            job = customer.waits[0]
+        while customer.waiting:
+            job = customer.waiting[0]
             self._current_request = job.request.id
             plan = self._settings.plans[job.request.plan]
             if self._within_ceiling(job, plan):
-                customer.waits.pop(0)
+                customer.waiting.pop(0)
                 self._start_attempt(job)
                 continue
             if not self._loan_expected(job):
@@ -890,7 +894,7 @@
             for server in self._ready:
                 server_limit, count = (
                     server.limit.max_in_flight,
-                    server.occupancy(oldest) if server.abandoned else len(server.out),
+                    server.occupancy(oldest) if server.abandoned else len(server.in_flight),
                 )
                 occupied += count if count < server_limit else server_limit
                 limit += server_limit
@@ -936,7 +940,7 @@
             member = server.member
             if (
                 separate_limits
-                and (server.occupancy(oldest) if server.abandoned else len(server.out))
+                and (server.occupancy(oldest) if server.abandoned else len(server.in_flight))
                 >= server.limit.max_in_flight
             ):
                 continue
@@ -956,12 +960,12 @@
             latency = server.relative_latency * own_weight + server.kind.relative_latency * (1.0 - own_weight)
             # 5% either way, and an exponentially distributed random factor.
             random_factor = (0.95 + TIE_RANGE * draw()) * power(-log(1.0 - draw()), (1.0 - load_weight) / 2)
-            load = len(server.out) + (server.load * load_weight + mean_load * (1.0 - load_weight))
+            load = len(server.in_flight) + (server.load * load_weight + mean_load * (1.0 - load_weight))
             if weighted:
                 load /= max(0.01, member.weight)
             cost = latency * (1.0 + ERROR_WEIGHT * server.error_rate) * (1.0 + load) * random_factor
             if name in ejected:
-                if server.out or self._now < self._earliest_trial(job, server):
+                if server.in_flight or self._now < self._earliest_trial(job, server):
                     continue
                 if self._shared_limit is None:
                     cost = 0.0  # its trial is due; with hundreds of gateways, some try it without this
@@ -1016,7 +1020,8 @@
         suspects = [
             s
             for s in self._subset
-            if s.ejected or (s.out and s.answered_at < since and next(iter(s.out.values())) < since)
+            if s.ejected
+            or (s.in_flight and s.answered_at < since and next(iter(s.in_flight.values())) < since)
         ]
         self._ejected, self._ejected_at = {}, self._now
         if not suspects:
@@ -1118,12 +1123,12 @@
             elif job.attempts == 0:
                 timeout = min(timeout, max(self._settings.tick, int(until_aim * FIRST_ATTEMPT_SHARE)))
         if job.attempts == 0 and not job.request.sent:
-            job.customer.ceiling -= job.request.units
+            job.customer.ceiling_units -= job.request.units
         job.customer.open_requests += not job.in_flight
         self._actions.append(Send(job.request.id, server.member.server, timeout))
         self._accrue_credit()
         self._in_flight += 1
-        server.out[(job.request.id, job.attempts)] = self._now
+        server.in_flight[(job.request.id, job.attempts)] = self._now
         if server.ejected:
             server.next_trial_at = self._now + self._ejection_time()
         server.idle_connections = (
@@ -1148,7 +1153,7 @@
         self._accrue_credit()
         self._in_flight = max(0, self._in_flight - 1)
         if server is not None:
-            server.out.pop((event.request, event.attempt), None)
+            server.in_flight.pop((event.request, event.attempt), None)
             self._adapt_limit(server, event, job)
             self._update_statistics(server, event, job)
         if job is None:
@@ -1182,8 +1187,8 @@
     def _on_expired(self, event: Expired) -> None:
         """The client disconnected. Attempts in flight run on; units counted but never sent are refunded."""
         job = self._open_requests.pop(event.request, None)
-        if job is not None and job in job.customer.waits:
-            job.customer.waits.remove(job)
+        if job is not None and job in job.customer.waiting:
+            job.customer.waiting.remove(job)
         if job is not None and job.attempts == 0:
             self._correct_count(job, -job.request.units)
         elif job is not None and job.in_flight:
@@ -1203,7 +1208,7 @@
                 self._in_flight + 1 > max(1.0, self._total_limit() / 2) or self._credit < self._max_aim / 2
             )
         else:
-            limit_in_use = len(server.out) + 1 >= limit.max_in_flight / 2
+            limit_in_use = len(server.in_flight) + 1 >= limit.max_in_flight / 2
         late = event.result is Result.FULL
         if event.result in (Result.TIMEOUT, Result.CANCELLED):
             oldest = self._now - int(ABANDONED_EXPIRY_AIMS * self._max_aim)
@@ -1225,14 +1230,14 @@
         if event.load:
             fields = dict(zip(self._settings.report_fields, event.load, strict=False))
             if "inflight" in fields:
-                server.load = max(0.0, fields["inflight"] - len(server.out))
+                server.load = max(0.0, fields["inflight"] - len(server.in_flight))
             elif "util" in fields:
                 utilization = min(0.8, max(0.0, fields["util"]))
                 server.load = utilization / (1 - utilization)
             elif "qps" in fields:
                 # Arrivals per second times the time that each stays is the number present (Little's law).
                 time_in_server = server.relative_latency * self._mean_latency / SECOND
-                server.load = max(0.0, fields["qps"] * time_in_server - len(server.out))
+                server.load = max(0.0, fields["qps"] * time_in_server - len(server.in_flight))
             if not fields.keys().isdisjoint(LOAD_FIELDS):
                 server.load_updated_at = self._now
                 self._mean_load += SMOOTHING * (server.load - self._mean_load)
@@ -1281,9 +1286,9 @@
             return
         self._current_request = request
         if attempt == CEILING_WAIT_TIMER:
-            if job in job.customer.waits:
+            if job in job.customer.waiting:
                 self._refill_ceiling(job.customer)
-                job.customer.waits.remove(job)
+                job.customer.waiting.remove(job)
                 if self._within_ceiling(job, self._settings.plans[job.request.plan]):
                     self._start_attempt(job)
                 else:
@@ -1334,8 +1339,8 @@
             self._actions.append(Refuse(job.request.id, self._retry_after(job), cause))
         else:
             self._actions.append(Fail(job.request.id, cause))
-        if job in job.customer.waits:
-            job.customer.waits.remove(job)
+        if job in job.customer.waiting:
+            job.customer.waiting.remove(job)
         del self._open_requests[job.request.id]
 
     def _retry_after(self, job: OpenRequest) -> int:
--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -33,11 +33,11 @@
         "updated_at",
         "mean_pending",
         "burst",
-        "ceiling",
+        "ceiling_units",
         "debt",
         "excess",
         "ceiling_refill_rate",
-        "full",
+        "ceiling_capacity",
         "estimated_other_units",
         "last_request_at",
         "ceiling_refill_mark",
@@ -52,7 +52,7 @@
         "recent_own",
         "last_no_room_at",
         "total",
-        "waits",
+        "waiting",
         "count_name",
     )
 
@@ -70,14 +70,14 @@
         self.mean_pending = 0.0  # moving average of `pending` when calls were made
         # Units left in this gateway's share of the ceiling, and the value of `Gateway._ceiling_refilled` at
         # its last refill.
-        self.ceiling, self.ceiling_refill_mark = 0.0, 0.0
+        self.ceiling_units, self.ceiling_refill_mark = 0.0, 0.0
         self.quota_rate = 0.0  # units a second
         # Of an even share of the ceiling; the rate in units a second.
-        self.ceiling_refill_rate, self.full = 0.0, 0.0
+        self.ceiling_refill_rate, self.ceiling_capacity = 0.0, 0.0
         self.last_request_at = now - NAME_LIFE  # when a request of the customer last arrived here
         self.last_no_room_at = now - NAME_LIFE  # when it was last found to have no room
         self.open_requests = 0
-        self.waits: list[OpenRequest] = []  # waiting for ceiling units from other gateways
+        self.waiting: list[OpenRequest] = []  # waiting for ceiling units from other gateways
 
     def apply_others(self, units: float) -> None:
         """Apply units that other gateways have added, or refunded if negative: these reduce the excess first.
@@ -162,7 +162,7 @@
         "listed_at",
         "load",
         "load_updated_at",
-        "out",
+        "in_flight",
         "relative_latency",
         "connect_refused",
         "samples",
@@ -178,7 +178,7 @@
         self.listed_at: int | None = None  # when the list last confirmed its entry; None: perhaps stale
         self.started_at = _local_start_time(member, now, clock_shift)  # on this gateway's clock; 0: long past
         self.abandoned: list[int] = []  # send times of abandoned attempts, which may still wait there
-        self.out: dict[tuple[int, int], int] = {}  # (request, attempt) -> send time
+        self.in_flight: dict[tuple[int, int], int] = {}  # (request, attempt) -> send time
         # Answer time relative to the usual one of the class, and the answers behind it.
         self.relative_latency, self.samples = 1.0, 0
         self.error_rate = 0.0
@@ -209,7 +209,9 @@
 
     def occupancy(self, since: int) -> int:
         """Attempts in flight, plus abandoned ones sent later than `since`, which may still be there."""
-        return len(self.out) + (sum(sent_at > since for sent_at in self.abandoned) if self.abandoned else 0)
+        return len(self.in_flight) + (
+            sum(sent_at > since for sent_at in self.abandoned) if self.abandoned else 0
+        )
 
     def is_silent(self, now: int, since: int) -> bool:
         """Whether no answer of any kind has arrived since then."""
--- a/mothgap/view.py
+++ b/mothgap/view.py
@@ -45,5 +45,5 @@
         if gateway._is_cold(server):
             limit *= gateway._settings.safety.cold_from
         so_far = zones.get(server.member.zone, Use(0.0, 0.0))
-        zones[server.member.zone] = Use(so_far.out + len(server.out), so_far.bears + limit)
+        zones[server.member.zone] = Use(so_far.out + len(server.in_flight), so_far.bears + limit)
     return zones
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -244,8 +244,10 @@
                 assert call.cls == REPEATABLE or call.answers != ["refused"] or not may_have_run
             await finish(rig)
             await rig.settle()
-            assert not rig.engine._open and not rig.engine._taken and not module._open_requests  # nothing is kept
-            assert not any(server.out for server in module._servers.values())
+            assert (
+                not rig.engine._open and not rig.engine._taken and not module._open_requests
+            )  # nothing is kept
+            assert not any(server.in_flight for server in module._servers.values())
             rig.tally.read({}, {})
             totals = dict(rig.tally.totals)
             assert totals.pop("taken") == sum(totals.values())
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -245,7 +245,7 @@
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     request = fleet.request(0, **call(2.0))
     fleet.run(START + 20 * MS)
-    waiting = fleet.gateways[0]._customers[CUSTOMER].waits
+    waiting = fleet.gateways[0]._customers[CUSTOMER].waiting
     assert [job.request.id for job in waiting] == [request]
     fleet.feed(0, Expired(request))
     assert not waiting
@@ -269,7 +269,7 @@
         actions = fleet.gateways[0].handle(fleet.now, PeerMessage(noise.randrange(20), bytes(data)))
         assert all(isinstance(action, Tell) for action in actions)
     known = fleet.gateways[0]._customers.get(CUSTOMER)
-    assert known is None or known.ceiling <= known.full
+    assert known is None or known.ceiling_units <= known.ceiling_capacity
 
 
 def test_that_nobody_has_anything_is_told_when_the_last_answer_is_here() -> None:
@@ -291,7 +291,7 @@
     fleet.request(0, **call(2.0))  # a part is 1.5
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
-    assert fleet.gateways[0]._customers[CUSTOMER].ceiling <= 1.5
+    assert fleet.gateways[0]._customers[CUSTOMER].ceiling_units <= 1.5
 
 
 def test_a_part_that_runs_low_is_added_to_before_it_is_wanted() -> None:
@@ -303,7 +303,7 @@
     fleet.request(0, **call(2.0))
     fleet.run(fleet.now + SECOND)
     assert fleet.messages == 2
-    assert fleet.gateways[0]._customers[CUSTOMER].ceiling == pytest.approx(4.0)
+    assert fleet.gateways[0]._customers[CUSTOMER].ceiling_units == pytest.approx(4.0)
 
 
 def test_a_customer_whose_part_has_just_been_lent_is_not_let_go_of() -> None:
