--- a/lynxreel/emulator/zones.py
+++ b/lynxreel/emulator/zones.py
@@ -78,7 +78,7 @@
             member, now = self.members[number], self.agenda.now // 1_000
             use = None
             if member.wants_use(now):
-                found = view.use(self.nodes[number].module)
+                found = view.zone_loads(self.nodes[number].module)
                 use = {f"z{zone}": (out, bears) for zone, (out, bears) in found.items()}
             self._do(number, member.look(now, now, use))
             self.agenda.after(LOOK, look)
--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -270,11 +270,11 @@
 
     def believes(self, customer: int) -> dict[str, float]:
         """What the module knows of a customer's use, for the operators."""
-        return view.believes(self._module, customer)
+        return view.customer_state(self._module, customer)
 
-    def in_use(self) -> dict[int, view.Use]:
+    def in_use(self) -> dict[int, view.ZoneLoad]:
         """What is out at each zone's servers, and how much they bear of this gateway."""
-        return view.use(self._module)
+        return view.zone_loads(self._module)
 
     def owed(self) -> int:
         """Requests that wait for their final answer."""
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mothgap.interface import Action, ClockShift, Limits, ListKind, Members, Plan, Send, Settings, State
-from mothgap.view import use
+from mothgap.view import zone_loads
 from tests.gateways import Gateways
 from tests.helpers import SECOND, SETTINGS, Driver, line
 
@@ -111,7 +111,7 @@
 def assumed_capacity(driver: Driver) -> float:
     """The assumed capacity of the only server: it is lower while the server counts as cold."""
     driver.members()  # only advances the gateway's clock
-    return use(driver.gateway)[0].bears
+    return zone_loads(driver.gateway)[0].max_in_flight
 
 
 @pytest.mark.parametrize("step", [-3_600, 0, 3_600])
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mothgap.interface import Cause, Count, Counter, Outcome, Refuse, Result, Unsure
-from mothgap.view import believes
+from mothgap.view import customer_state
 from tests.helpers import CEILING, CUSTOMER, MS, ONCE, REPEATABLE, SECOND, SETTINGS, Driver, kinds
 
 
@@ -458,7 +458,7 @@
     driver.feed(Unsure(1, unsure))
     driver.expire(1)
     refunded = sum(a.amount for a in driver.actions if isinstance(a, Count) and a.amount < 0)
-    assert refunded + believes(driver.gateway, CUSTOMER)["owed"] == (0.0 if unsure else -1.0)
+    assert refunded + customer_state(driver.gateway, CUSTOMER)["owed"] == (0.0 if unsure else -1.0)
 
 
 def test_units_counted_by_a_lost_gateway_are_checked_and_not_added_again() -> None:
@@ -479,7 +479,7 @@
         driver.request(customer=customer, counted=True)
         while driver.calls:
             driver.counted(result=Result.TIMEOUT)
-        assert believes(driver.gateway, customer)["owed"] == 0.0
+        assert customer_state(driver.gateway, customer)["owed"] == 0.0
         driver.wait(10 * MS)
         driver.finish()
     assert {a.amount for a in driver.actions if isinstance(a, Count)} == {0.0}
