--- a/bench/lending.py
+++ b/bench/lending.py
@@ -18,7 +18,7 @@
 
 def _play(skew: float, load: float, lent: bool, seed: int) -> tuple[float, float, float]:
     """Units passed of those that fit, how far the ceiling was passed, and messages a request."""
-    fleet = Gateways(replace(LENT, limits=replace(LENT.limits, peers=lent)), seed, lost=0.05)
+    fleet = Gateways(replace(LENT, limits=replace(LENT.limits, peers=lent)), seed, loss_rate=0.05)
     chance, began = random.Random(seed), fleet.now
     ledger, fits = (Ledger(PLAN.ceiling_rate, PLAN.ceiling_burst, began) for _ in range(2))
     units: dict[int, float] = {}
@@ -27,7 +27,7 @@
         if isinstance(action, Send):
             ledger.take(units[action.request], fleet.now)
 
-    fleet.on = on
+    fleet.on_action = on
     number = 0
     while fleet.now < began + SECONDS * SECOND:
         fleet.run(fleet.now + int(chance.expovariate(load * PLAN.ceiling_rate / 1.5) * SECOND) + 1)
@@ -38,7 +38,7 @@
             fits.take(units[number], fleet.now)
         fleet.request(int(chance.random() ** skew * FLEET), **call(units[number]))
     fleet.run(fleet.now + SECOND)
-    return ledger.taken / fits.taken, max(0.0, -ledger.lowest), fleet.messages / number
+    return ledger.total_units / fits.total_units, max(0.0, -ledger.min_level), fleet.messages / number
 
 
 def _level(ledger: Ledger, now: int) -> float:
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -33,20 +33,20 @@
 
 
 class Gateways:
-    """A fleet. `on` is called with each action; loss, duplicates and delays of messages are random."""
+    """A fleet. `on_action` is called with each action; loss, duplicates and delays of messages are random."""
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
         servers: int = 4,
-        way: tuple[int, int] = (1 * MS, 40 * MS),
-        lost: float = 0.0,
-        twice: float = 0.0,
+        network_delay: tuple[int, int] = (1 * MS, 40 * MS),
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
     ) -> None:
-        self.now, self.chance, self.settings = START, random.Random(seed), settings
-        self.network_delay, self.loss_rate, self.duplicate_rate = way, lost, twice
-        self.on: Callable[[int, Action], None] = lambda gateway, action: None
+        self.now, self.rng, self.settings = START, random.Random(seed), settings
+        self.network_delay, self.loss_rate, self.duplicate_rate = network_delay, loss_rate, duplicate_rate
+        self.on_action: Callable[[int, Action], None] = lambda gateway, action: None
         self.total: Callable[[int, float], float] = lambda name, amount: amount  # the counter's answer
         self.lines = tuple(ready_server(number + 1) for number in range(servers))
         self.gateways: list[Gateway] = []
@@ -60,7 +60,7 @@
             self.gateways.append(self._new(number))
 
     def _new(self, number: int) -> Gateway:
-        gateway = Gateway(replace(self.settings, index=number), self.chance.getrandbits(32), self.now)
+        gateway = Gateway(replace(self.settings, index=number), self.rng.getrandbits(32), self.now)
         gateway.handle(self.now, Members(ListKind.CACHED, 1, self.lines))
         return gateway
 
@@ -78,7 +78,7 @@
 
     def feed(self, gateway: int, event: Event) -> None:
         for action in self.gateways[gateway].handle(self.now, event):
-            self.on(gateway, action)
+            self.on_action(gateway, action)
             self._act(gateway, action)
 
     def schedule(self, delay: int, gateway: int, event: Event, any_incarnation: bool = False) -> None:
@@ -98,14 +98,12 @@
             case Tell() if action.to is not None:
                 self.messages += 1
                 copies = (
-                    0
-                    if self.chance.random() < self.loss_rate
-                    else 1 + (self.chance.random() < self.duplicate_rate)
+                    0 if self.rng.random() < self.loss_rate else 1 + (self.rng.random() < self.duplicate_rate)
                 )
                 for _ in range(copies):
                     message = PeerMessage(gateway, action.data)
                     self.schedule(
-                        self.chance.randint(*self.network_delay), action.to, message, any_incarnation=True
+                        self.rng.randint(*self.network_delay), action.to, message, any_incarnation=True
                     )
             case Refuse() | Fail():
                 self.requests.pop(action.request, None)
@@ -126,8 +124,12 @@
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
         self.rate, self.burst, self.level, self.at = rate, burst, burst, now
-        self.lowest, self.taken = burst, 0.0
+        self.min_level, self.total_units = burst, 0.0
 
     def take(self, units: float, now: int) -> None:
         self.level = min(self.burst, self.level + self.rate * (now - self.at) / 1_000_000) - units
-        self.at, self.lowest, self.taken = now, min(self.lowest, self.level), self.taken + units
+        self.at, self.min_level, self.total_units = (
+            now,
+            min(self.min_level, self.level),
+            self.total_units + units,
+        )
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -37,7 +37,7 @@
 
     def __init__(self, fleet: int, seed: int) -> None:
         self.gateways = Gateways(settings(fleet), seed, servers=SERVERS)
-        self.gateways.on = self.sent
+        self.gateways.on_action = self.sent
         self.rng = random.Random(seed)
         self.started = 0
         self.recent: deque[int] = deque()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -37,7 +37,7 @@
 
 def played(fleet: Gateways, seconds: float, a_second: float, skew: float, restarts: float = 0.0) -> Ledger:
     """A customer that asks for much, unevenly; its ledger, and every request with its one answer."""
-    plan, chance = fleet.settings.plans[0], fleet.chance
+    plan, chance = fleet.settings.plans[0], fleet.rng
     ledger = Ledger(plan.ceiling_rate, plan.ceiling_burst, START)
     answered: list[int] = []
     units: dict[int, float] = {}
@@ -48,7 +48,7 @@
         if isinstance(action, Send | Refuse):
             answered.append(action.request)
 
-    fleet.on = on
+    fleet.on_action = on
     number = 0
     while fleet.now < START + seconds * SECOND:
         fleet.run(fleet.now + int(chance.expovariate(a_second) * SECOND) + 1)
@@ -68,26 +68,27 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("longest", [LIFE // 2, 3 * LIFE])
 def test_the_ceiling_holds_while_messages_are_late_lost_and_doubled(longest: int, seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, longest), lost=0.1, twice=0.3)
+    fleet = Gateways(LENT, seed, network_delay=(1 * MS, longest), loss_rate=0.1, duplicate_rate=0.3)
     ledger = played(fleet, 20, 60.0, 2.0)
     assert fleet.messages > (1_000 if longest < LIFE else 200)
-    assert ledger.lowest >= -PLAN.ceiling_slack
+    assert ledger.min_level >= -PLAN.ceiling_slack
     fair = played(Gateways(replace(LENT, limits=SETTINGS.limits), seed), 20, 60.0, 2.0)
-    assert ledger.taken > 0.7 * fair.taken  # what is given in vain is lost; hence few are asked in vain
+    # What is given in vain is lost; hence few are asked in vain.
+    assert ledger.total_units > 0.7 * fair.total_units
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_ceiling_holds_while_gateways_die_and_come_back(seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, 2 * LIFE), lost=0.05, twice=0.2)
+    fleet = Gateways(LENT, seed, network_delay=(1 * MS, 2 * LIFE), loss_rate=0.05, duplicate_rate=0.2)
     ledger = played(fleet, 20, 60.0, 2.0, restarts=2.0)
-    assert ledger.lowest >= -PLAN.ceiling_slack
+    assert ledger.min_level >= -PLAN.ceiling_slack
 
 
 def test_what_is_asked_inside_the_ceiling_passes_however_uneven_it_is() -> None:
     def passed(peers: bool) -> float:
         limits = replace(LENT.limits, peers=peers)
-        ledger = played(Gateways(replace(LENT, limits=limits), 3, lost=0.05), 30, 10.0, 3.0)
-        return ledger.taken / 30
+        ledger = played(Gateways(replace(LENT, limits=limits), 3, loss_rate=0.05), 30, 10.0, 3.0)
+        return ledger.total_units / 30
 
     alone, lent = passed(False), passed(True)
     assert alone < 11.0  # of some 15 units a second, where 20 are allowed
@@ -99,8 +100,8 @@
     tight = replace(PLAN, ceiling_slack=0.0)
     assert held_back(tight) == pytest.approx(tight.ceiling_rate * LIFE / SECOND)
     for seed in range(4):
-        fleet = Gateways(replace(LENT, plans=(tight,)), seed, way=(1 * MS, LIFE))
-        assert played(fleet, 20, 60.0, 2.0).lowest >= -1e-6
+        fleet = Gateways(replace(LENT, plans=(tight,)), seed, network_delay=(1 * MS, LIFE))
+        assert played(fleet, 20, 60.0, 2.0).min_level >= -1e-6
 
 
 def test_messages_are_read_as_written_and_units_only_rounded_down() -> None:
@@ -212,7 +213,7 @@
             assert action.cause is Cause.CEILING
             refused.append(fleet.now)
 
-    fleet.on = on
+    fleet.on_action = on
     fleet.request(0, **call(2.0))
     fleet.run(START + LIFE - 1)
     assert refused or fleet.gateways[0]._questions.out(CUSTOMER, fleet.now)
@@ -222,10 +223,10 @@
 
 
 def test_a_request_that_waits_for_a_loan_goes_to_no_server_that_left_meanwhile() -> None:
-    fleet = Gateways(LENT, 1, servers=2, way=(20 * MS, 20 * MS))
+    fleet = Gateways(LENT, 1, servers=2, network_delay=(20 * MS, 20 * MS))
     fleet.run(START + 3 * SECOND)  # parts have been saved up
     sent: list[tuple[int, str]] = []
-    fleet.on = lambda gateway, action: (
+    fleet.on_action = lambda gateway, action: (
         sent.append((action.request, action.server)) if isinstance(action, Send) else None
     )
     waiting = [fleet.request(0, **call(2.0)) for _ in range(6)]
@@ -240,9 +241,9 @@
 
 
 def test_a_request_whose_client_leaves_while_it_waits_takes_nothing() -> None:
-    fleet = Gateways(LENT, 1, way=(90 * MS, 90 * MS))
+    fleet = Gateways(LENT, 1, network_delay=(90 * MS, 90 * MS))
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     request = fleet.request(0, **call(2.0))
     fleet.run(START + 20 * MS)
     waiting = fleet.gateways[0]._customers[CUSTOMER].waiting
@@ -273,9 +274,9 @@
 
 
 def test_that_nobody_has_anything_is_told_when_the_last_answer_is_here() -> None:
-    fleet = Gateways(LENT, 1, way=(1 * MS, 1 * MS))
+    fleet = Gateways(LENT, 1, network_delay=(1 * MS, 1 * MS))
     refused: list[int] = []
-    fleet.on = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
+    fleet.on_action = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
     fleet.request(0, **call(2.0))
     fleet.run(START + SECOND)
     assert len(refused) == 1
@@ -287,7 +288,7 @@
     fleet = Gateways(replace(LENT, plans=(small,)), 1)
     fleet.now += 60 * SECOND
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     fleet.request(0, **call(2.0))  # a part is 1.5
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
@@ -323,12 +324,12 @@
 
 def test_what_several_gateways_give_adds_up_for_a_request_that_waits() -> None:
     small = replace(PLAN, ceiling_burst=12.0, ceiling_slack=6.0)
-    fleet = Gateways(replace(LENT, plans=(small,)), 2, way=(1 * MS, 5 * MS))
+    fleet = Gateways(replace(LENT, plans=(small,)), 2, network_delay=(1 * MS, 5 * MS))
     fleet.now += 60 * SECOND
     for number in range(1, FLEET):
         fleet.gateways[number].handle(fleet.now, PeerMessage(0, write(replace(ASKED, units=0.6))))
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     fleet.request(0, **call(2.0))  # a part is 1, and nobody has more than 0.4 left
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
