--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -93,7 +93,7 @@
 SHORTAGE_WINDOWS = 2.0
 # Room that every class leaves free then, as a share of the largest request.
 SHORTAGE_RESERVE = 0.5
-# Windows after which what totals showed of a customer has faded: long periods over the quota last longer.
+# Windows over which past decisions on a customer fade: long periods over the quota last longer.
 DECISION_FADE_WINDOWS = 8.0
 # Counter calls for a customer over its quota, for each that is likely to find room.
 OVER_QUOTA_CALL_FACTOR = 2.0
@@ -212,8 +212,7 @@
         self._open_calls: dict[int, list[int | None]] = {}  # count name: requests of its open calls
         self._call_amounts: dict[int, list[tuple[Customer, float]]] = {}
         self._class_latency = [0.0 for _ in settings.classes]  # moving average of answer times by class
-        # Consecutive failed counter calls, each sent after the one before had failed; the time of the last
-        # failure.
+        # Consecutive failed counter calls, each sent after the previous one had failed; time of the last one.
         self._counter_failures, self._counter_failed_at = 0, now - NAME_LIFE
         self._counter_trial_at = now  # time of the next trial call
         # By class: usual time left of a try, and votes for it.
@@ -228,8 +227,8 @@
         self._max_worth = max(cls.worth for cls in settings.classes)
         self._max_aim = max(cls.aim for cls in settings.classes)
         self._credit = float(self._max_aim)
-        # The part of its share of ceilings that this gateway holds; the refill so far, in microseconds at a
-        # whole part.
+        # The part of its even share of ceilings that this gateway holds; the refill time so far, in
+        # microseconds at a whole part, and when it was brought up to date.
         self._ceiling_part, self._ceiling_refilled, self._ceiling_refilled_at = 1.0, 0.0, now
         # Value of `_ceiling_refilled`, and the time, when all was handed back.
         self._handed_back_mark, self._handed_back_at = 0.0, now - NAME_LIFE
@@ -288,7 +287,7 @@
                 self._on_share(event.part)
             case ZoneParts():
                 for server in self._servers.values():
-                    if server.member.zone in self._zone_parts:  # whether it has recovered is unknown
+                    if server.member.zone in self._zone_parts:  # they may have recovered
                         server.ejected, server.error_rate = False, 0.0
                 self._zone_parts = dict(event.parts)
                 self._update_ready()
@@ -390,8 +389,8 @@
             if likely_over_quota and share < 1.0:
                 share *= min(1.0, OVER_QUOTA_CALL_FACTOR * (1.0 - refusal_rate))
             elif share < 1.0 and not self._sparse_customers:
-                # A total tells more the nearer the customer is to its burst; units far from it are added to
-                # the count later.
+                # A total matters more the nearer the customer is to its burst; units that pass without a call
+                # are added to the count later.
                 share *= ((customer.debt + request.units) / plan.burst / CALL_REFERENCE_USE) ** 2
             if self._rng.random() < share:
                 # In a large fleet the customer may not come here again: this call also counts for requests
@@ -619,8 +618,8 @@
         if name != customer.count_name:
             return 0.0
         others = total - customer.total - amount
-        # This total can hold at most so much of the increments whose answers were lost; the rest was not
-        # added.
+        # The total can hold at most this part of the increments whose answers were lost; the rest was not
+        # added, and becomes pending.
         confirmed = (
             min(max(others, 0.0), customer.unconfirmed) if customer.unconfirmed > 0 else customer.unconfirmed
         )
@@ -798,10 +797,10 @@
         wanted = max(request.units - customer.ceiling_units, (capacity - customer.ceiling_units) / gateways)
         ask = Ask(request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry)
         for _ in range(min(gateways, MAX_PEERS_ASKED - job.peers_asked)):
-            tell = self._questions.ask(ask, self._settings.fleet_size, self._now)
-            if tell is not None:
+            question = self._questions.ask(ask, self._settings.fleet_size, self._now)
+            if question is not None:
                 job.peers_asked += 1
-                self._actions.append(tell)
+                self._actions.append(question)
 
     def _on_peer_message(self, event: PeerMessage) -> None:
         """Handle a question for ceiling units, or the answer to one; any other message is dropped."""
--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -184,7 +184,7 @@
         self.error_rate = 0.0
         self.connect_refused = False  # the last connection to it could not be opened
         self.answered_at = now
-        self.idle_connections, self.idle_updated_at = 0, now  # as far as answers tell; when last updated
+        self.idle_connections, self.idle_updated_at = 0, now  # as far as answers show; last answer
         self.ejected, self.next_trial_at = False, 0  # when ejected: the time from which it may be tried
         self.load, self.load_updated_at = 0.0, now
         self.cold_tokens, self.cold_refilled_at = 0.0, now
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -422,7 +422,7 @@
     assert driver.admitted().server != paused.member.server
 
 
-@pytest.mark.parametrize("final", [False, True])  # the module does not rely on being told
+@pytest.mark.parametrize("final", [False, True])  # the module does not rely on a final outcome
 @pytest.mark.parametrize("first", [Result.RESET, Result.CONNECT_FAILED, Result.NOT_SENT, Result.ERROR])
 @pytest.mark.parametrize("second", [Result.RESET, Result.CONNECT_FAILED, Result.NOT_SENT, Result.TIMEOUT])
 def test_no_attempt_begins_for_a_client_that_left_while_a_second_copy_was_out(
