--- a/lynxreel/engine/__init__.py
+++ b/lynxreel/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Round the decisions: events in, actions out, and who is owed what. No sockets."""
+"""The engine between sockets and decision module: events, actions and open requests. No socket I/O."""
--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -1,4 +1,7 @@
-"""Drives the decision module: events in, `Gateway.handle`, actions out. Clock, ids and timers; no sockets."""
+"""Drives the decision module: passes events to `Gateway.handle` and executes the actions that it returns.
+
+Owns the clock, request ids and timers, and does no socket I/O.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,10 @@
     from lynxreel.protocol.exchange import Exchange
     from lynxreel.relay.stream import Stream
 
-WAY = 10_000  # microseconds of a client's patience kept back for the way there and back and for loop lag
-LATE = 5_000  # microseconds past the deadline told to the module at which the answer is given without it
+# Microseconds subtracted from a client's timeout for the network in both directions and for event loop lag.
+WAY = 10_000
+# Microseconds after the deadline given to the decision module at which the engine answers without it.
+ANSWER_GRACE = 5_000
 
 
 class Call(Protocol):
@@ -33,109 +38,109 @@
     plan: int
     customer: int
     units: float
-    patience: int  # milliseconds, from when the client sent it
+    patience: int  # the client's timeout: milliseconds from when it sent the request
     spread: int
     first: int
     retry: bool
-    streams: bool  # it may be served a value that is passed on as it comes
-    counted: bool  # its units are on the counter already
-    sent: bool  # and are taken from a part of its ceiling
-    back: bool  # its client has asked for it before, under this id, and comes back
-    seeks: bool  # its client may have: it is begun where nobody is found to have it
-    mark: bytes  # of what is asked, where the id does not say all of it; empty: it does
+    streams: bool  # the front accepts a `Stream` as the value, forwarded while it arrives
+    counted: bool  # its units have already been added to the counter
+    sent: bool  # an attempt was already sent, so its units are already charged to a share of its ceiling
+    back: bool  # the client reconnects for a request that it sent before under this id
+    seeks: bool  # the client may have sent it before: it starts only if no instance is found to have it
+    mark: bytes  # fingerprint of the request's content where the id does not identify it; empty: the id does
 
     def portable(self) -> tuple[bytes, ...]:
-        """The strings of its command, from which another instance can go on with it."""
+        """The strings of its command, from which another instance can resume it."""
 
     def command(self, wait: int) -> bytes:
-        """The command for a server, which is told how many microseconds the gateway waits."""
+        """The RESP2 command for a server, with the microseconds that the gateway waits for the answer."""
 
     def exchange(self, wait: int) -> Exchange:
-        """The same for a server that speaks HTTP."""
+        """The same request for a server that speaks HTTP."""
 
     def served(self, value: bytes | Stream, again: bool = False) -> None:
-        """Answer with a server's value; an `Answer` where that speaks HTTP, a `Stream` where it is large.
+        """Answer with a server's value: an `Answer` if the server speaks HTTP, a `Stream` if it is large.
 
-        `again`: another request for the same has brought it.
+        `again`: the value was obtained by another request for the same operation.
         """
 
     def refused(self, wait: int) -> None:
-        """Answer that it may come again, after so many microseconds if not 0."""
+        """Answer that the request may be retried, after this many microseconds if not 0."""
 
     def failed(self) -> None:
-        """Answer that it failed."""
+        """Answer that the request failed."""
 
     def unknown(self) -> None:
         """Answer that it may have run, that this will never be known, and that it will not run again."""
 
     def clash(self) -> None:
-        """Answer that its id is that of another request."""
+        """Answer that another request already uses its id."""
 
 
 class Desk(Protocol):
-    """Where fronts bring requests."""
+    """Accepts requests from the fronts."""
 
     def submit(self, call: Call) -> int:
-        """Take a request; the number is for `gone`. 0: its id is that of another one, and it is not taken."""
+        """Accept a request and return its number, as `gone` takes it; 0 if another request uses its id."""
 
     def gone(self, request: int) -> None:
-        """The client has left."""
+        """The client has disconnected."""
 
 
-class Watch(Protocol):
-    """Who is told what becomes of requests, before whoever waits for it."""
+class RequestObserver(Protocol):
+    """Is notified of what happens to requests before the client or the decision module is."""
 
     def counted(self, request: int) -> None:
-        """An add was written as it was taken."""
+        """A counter call was written when the request was accepted."""
 
     def ended(self, attempt: Attempt, result: api.Result) -> None:
         """An attempt has ended."""
 
     def unsure(self) -> Iterable[tuple[int, bool]]:
-        """Requests with which another instance may have gone on since the last call, or may not any more.
+        """Requests that another instance may have resumed since the last call, or no longer may have.
 
-        Their units are not, or are again, this one's to give back.
+        In the first case (True) this instance must not refund their units; in the second (False) it may.
         """
 
 
 class Backend(Protocol):
-    """Where attempts go."""
+    """Sends attempts to servers."""
 
     def send(self, attempt: Attempt, timeout: int) -> None:
-        """Start an attempt; exactly one `Engine.finished` follows."""
+        """Start an attempt, with a timeout in microseconds; exactly one `Engine.finished` follows."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Abandon an attempt."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Give an attempt up if no byte of it has gone out; it ends as not sent."""
+        """Abandon an attempt if no byte of it has been sent; it then ends as NOT_SENT."""
 
     def shorten(self, attempt: Attempt, timeout: int) -> None:
-        """Wait for so many microseconds more at the most."""
+        """Wait at most this many microseconds more."""
 
 
 class Tally(Protocol):
-    """Who counts what became of requests, for the operators."""
+    """Counts requests and their results for the operators."""
 
     def taken(self, cls: int, plan: int) -> None:
-        """A request is here."""
+        """A request was accepted."""
 
     def ended(self, cls: int, plan: int, how: str, cause: api.Cause | None) -> None:
-        """It has had its answer, or its client has left."""
+        """A request was answered, or its client has disconnected."""
 
 
 class Counter(Protocol):
-    """Where counts go."""
+    """Adds to the shared counter."""
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
-        """Add; exactly one `Counted` event follows."""
+        """Add an amount; exactly one `Counted` event follows."""
 
 
 class Peers(Protocol):
-    """Where messages to other gateways go."""
+    """Sends messages to other gateways."""
 
     def tell(self, to: int | None, data: bytes) -> None:
-        """Send to one gateway by its number, or to all others."""
+        """Send to one gateway by its number, or to all others if `to` is None."""
 
 
 @dataclass(slots=True, eq=False)
@@ -145,43 +150,43 @@
     request: int
     number: int
     server: str
-    held: Open
-    started: int
-    over: bool = False
+    open_request: OpenRequest
+    started: int  # microseconds of the engine's clock
+    ended: bool = False
 
     @property
     def call(self) -> Call:
         """The client's request."""
-        return self.held.call
+        return self.open_request.call
 
 
 @dataclass(slots=True, eq=False)
-class Open:
-    """A request that is owed its final answer."""
+class OpenRequest:
+    """A request without its final answer, or with unfinished attempts."""
 
     call: Call
-    until: int  # when the client gives up, as told to the module
-    deadline: asyncio.TimerHandle
+    expires_at: int  # when the client stops waiting, as given to the decision module
+    expiry_timer: asyncio.TimerHandle
     attempts: int = 0
-    unsent: int = 0  # of these, that count for nothing, as no byte of them went out
-    out: int = 0  # attempts that have not ended
-    may_have_run: bool = False  # an attempt that has ended may have
-    over: bool = False  # answered or left, but the module has not been told yet
+    unsent: int = 0  # attempts that do not count towards the limit, as no byte of them was sent
+    active: int = 0  # attempts that have not ended
+    may_have_run: bool = False  # an attempt that has ended may have run on its server
+    closed: bool = False  # answered, or its client disconnected; the decision module may not know yet
 
 
 @dataclass(slots=True)
 class Clock:
-    """Microseconds: Unix time at the start, and from there monotonic, so that all gateways share windows."""
+    """Microseconds: Unix time at the start, monotonic from then on, so that all gateways share windows."""
 
     base: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())
 
     def now(self) -> int:
-        """The time now."""
+        """The current time."""
         return (self.base + time.monotonic_ns()) // 1_000
 
 
 class Engine:
-    """One gateway's decisions, and who is owed what."""
+    """One gateway's decisions and its open requests."""
 
     def __init__(
         self, settings: api.Settings, seed: int, loop: asyncio.AbstractEventLoop, clock: Clock | None = None
@@ -191,116 +196,116 @@
         self.counter: Counter | None = None  # a deployment may have none
         self.tally: Tally | None = None
         self.peers: Peers | None = None
-        self.watch: Watch | None = None
-        self.shutdown: ShutdownReport | None = None  # once the process is to end
-        self.sees: Callable[[str, api.Result], None] | None = None  # how attempts at servers end
+        self.watch: RequestObserver | None = None
+        self.shutdown: ShutdownReport | None = None  # set when the process starts to shut down
+        self.sees: Callable[[str, api.Result], None] | None = None  # called with the result of each attempt
         self._settings = settings
         self._loop = loop
         self._module = Gateway(settings, seed, self.clock.now())
-        self._ids = itertools.count(1)
-        self._open: dict[int, Open] = {}
-        self._taken: set[bytes] = set()  # ids of requests that are open, or have attempts out
-        self._out: dict[tuple[int, int], Attempt] = {}
-        self._news: deque[api.Event] = deque()
+        self._request_numbers = itertools.count(1)
+        self._requests: dict[int, OpenRequest] = {}
+        self._ids_in_use: set[bytes] = set()  # ids of requests that are open or have active attempts
+        self._active: dict[tuple[int, int], Attempt] = {}  # by request and attempt number
+        self._priority_events: deque[api.Event] = deque()  # handled before `_events`
         self._events: deque[api.Event] = deque()
         self._scheduled = False
-        self._until: int | None = None  # by then everything is answered: the process ends
+        self._answer_by: int | None = None  # during a shutdown: when the last request must be answered
 
-    # --- what the sockets tell --------------------------------------------------------------------------
+    # --- called by the sockets' side --------------------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Take a request; the number is for `gone`. 0: its id is that of another one, and it is not taken."""
-        if call.id in self._taken:
+        """Accept a request and return its number, as `gone` takes it; 0 if another request uses its id."""
+        if call.id in self._ids_in_use:
             return 0
-        self._taken.add(call.id)
+        self._ids_in_use.add(call.id)
         if self.tally is not None:
             self.tally.taken(call.cls, call.plan)
-        request = next(self._ids)
-        # Nobody waits for longer than the class's deadline, whatever a client says.
-        left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
+        request = next(self._request_numbers)
+        # The class's deadline bounds the wait, whatever timeout the client gives.
+        time_left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
         now = self.clock.now()
-        until = now + left if self._until is None else min(now + left, self._until)
-        self._open[request] = Open(call, until, self._outlived_at(request, until))
-        extras = (call.units, left, call.spread, call.first, call.retry, call.counted, call.sent)
+        expires_at = now + time_left if self._answer_by is None else min(now + time_left, self._answer_by)
+        self._requests[request] = OpenRequest(call, expires_at, self._start_expiry_timer(request, expires_at))
+        extras = (call.units, time_left, call.spread, call.first, call.retry, call.counted, call.sent)
         self.post(api.Request(request, call.cls, call.plan, call.customer, *extras))
         return request
 
     def gone(self, request: int, moved: bool = False) -> None:
-        """The client has left. `moved`: another gateway has its request, with the units that it took."""
+        """The client has disconnected. `moved`: another gateway has resumed the request and has its units."""
         if self._close(request, "left") is not None:
             if moved:
                 self.post(api.Unsure(request, True))
-            self._withdraw(request)
+            self._withdraw_attempts(request)
             self.post(api.Expired(request))
 
     def stop(self, refuse_after: float, answer_by: float) -> None:
-        """The process ends: refuse what comes after so many seconds, and have all answered after so many.
+        """Start a shutdown: refuse requests after `refuse_after` seconds, answer all in `answer_by` seconds.
 
-        Deadlines that lie beyond that are brought forward, and with them what servers are waited for.
+        Later deadlines of requests and timeouts of attempts are reduced to `answer_by`.
         A second call can only make the times earlier.
         """
         now = self.clock.now()
-        until = now + int(answer_by * 1e6)
-        self._until = until if self._until is None else min(until, self._until)
-        self._news.append(api.Stopping(now + int(refuse_after * 1e6), self._until))
+        last_answer = now + int(answer_by * 1e6)
+        self._answer_by = last_answer if self._answer_by is None else min(last_answer, self._answer_by)
+        self._priority_events.append(api.Stopping(now + int(refuse_after * 1e6), self._answer_by))
         self._schedule()
-        for request, held in self._open.items():
-            if not held.over and held.until > self._until:
-                held.until = self._until
-                held.deadline.cancel()
-                held.deadline = self._outlived_at(request, held.until)
-        for attempt in list(self._out.values()):
-            self.backend.shorten(attempt, max(0, self._until - now))
+        for request, open_request in self._requests.items():
+            if not open_request.closed and open_request.expires_at > self._answer_by:
+                open_request.expires_at = self._answer_by
+                open_request.expiry_timer.cancel()
+                open_request.expiry_timer = self._start_expiry_timer(request, open_request.expires_at)
+        for attempt in list(self._active.values()):
+            self.backend.shorten(attempt, max(0, self._answer_by - now))
 
     def adopt(self, settings: api.Settings) -> None:
-        """Go by other settings. Classes and plans keep their places, as `NewSettings` says."""
+        """Use new settings. Classes and plans keep their indices, as `NewSettings` requires."""
         self._settings = settings
-        self._news.append(api.NewSettings(settings))
+        self._priority_events.append(api.NewSettings(settings))
         self._schedule()
 
-    def share(self, part: float) -> None:
-        """Hold this part of an even share of all ceilings from now on; it goes before all that is queued."""
-        self._news.append(api.Share(part))
+    def share(self, fraction: float) -> None:
+        """Set the fraction of an even share of all ceilings to use; handled before all queued events."""
+        self._priority_events.append(api.Share(fraction))
         self._schedule()
 
-    def use(self, parts: Mapping[int, float]) -> None:
-        """Use these parts of zones' servers from now on, and all of the others'."""
-        self._news.append(api.ZoneParts(tuple(parts.items())))
+    def use(self, fractions: Mapping[int, float]) -> None:
+        """Set the fraction of each zone's servers to use; zones that are not named are used in full."""
+        self._priority_events.append(api.ZoneParts(tuple(fractions.items())))
         self._schedule()
 
     def believes(self, customer: int) -> dict[str, float]:
-        """What the module knows of a customer's use, for the operators."""
+        """What the decision module knows of a customer's usage, for the operators."""
         return view.believes(self._module, customer)
 
     def in_use(self) -> dict[int, view.Use]:
-        """What is out at each zone's servers, and how much they bear of this gateway."""
+        """By zone: this gateway's attempts in flight, and how many its servers can take from it at once."""
         return view.use(self._module)
 
     def owed(self) -> int:
-        """Requests that wait for their final answer."""
-        return sum(not held.over for held in self._open.values())
+        """Number of requests that wait for their final answer."""
+        return sum(not open_request.closed for open_request in self._requests.values())
 
     def news(self, members: api.Members) -> None:
-        """The list of servers has changed. It goes before all that is queued: sends rely on it."""
-        self._news.append(members)
+        """Update the list of servers; handled before all queued events, as sends rely on it."""
+        self._priority_events.append(members)
         self._schedule()
 
     def post(self, event: api.Event) -> None:
-        """Queue an event; the queue is worked off when all sockets that are ready have been read."""
+        """Queue an event; the queue is processed when all sockets that are ready have been read."""
         self._events.append(event)
         self._schedule()
 
     def finished(
         self, attempt: Attempt, result: api.Result, value: bytes | Stream = b"", load: tuple[float, ...] = ()
     ) -> None:
-        """An attempt has ended. The first good answer goes to the client; a large one has only begun."""
-        if attempt.over:
+        """An attempt has ended; the first good answer goes to the client. A `Stream` is still arriving."""
+        if attempt.ended:
             return
-        attempt.over = True
-        self._out.pop((attempt.request, attempt.number), None)
-        attempt.held.out -= 1
-        attempt.held.unsent += result is api.Result.NOT_SENT
-        attempt.held.may_have_run |= not result.never_ran
+        attempt.ended = True
+        self._active.pop((attempt.request, attempt.number), None)
+        attempt.open_request.active -= 1
+        attempt.open_request.unsent += result is api.Result.NOT_SENT
+        attempt.open_request.may_have_run |= not result.never_ran
         if self.watch is not None:
             self.watch.ended(attempt, result)
         if self.sees is not None:
@@ -308,203 +313,206 @@
         if self.shutdown is not None:
             self.shutdown.attempt_ended(attempt.call.id, attempt.number, result.value)
         if result is api.Result.OK and (closed := self._close(attempt.request, "served")) is not None:
-            self._answer(closed, lambda call: call.served(value))
+            self._respond(closed, lambda call: call.served(value))
         elif not isinstance(value, bytes):
-            value.gone()  # nobody waits for it
-        self._forget_id(attempt.held)
+            value.gone()  # the request was answered before, so the value is not needed
+        self._release_id(attempt.open_request)
         elapsed = self.clock.now() - attempt.started
-        final = attempt.held.over
+        final = attempt.open_request.closed
         self.post(
             api.Outcome(attempt.request, attempt.number, attempt.server, result, elapsed, final, load=load)
         )
         if final:
-            self._withdraw(attempt.request)
+            self._withdraw_attempts(attempt.request)
 
     # --- events and actions -----------------------------------------------------------------------------
 
     def _schedule(self) -> None:
         if not self._scheduled:
             self._scheduled = True
-            self._loop.call_soon(self._work)
+            self._loop.call_soon(self._process_events)
 
-    def _work(self) -> None:
-        """Hand the queued events to the module. What it adds to the queue meanwhile has the next turn."""
+    def _process_events(self) -> None:
+        """Handle the queued events. Events that are queued meanwhile are handled in the next run."""
         self._scheduled = False
-        if self.watch is not None:  # known before any of them is refused
+        if self.watch is not None:  # the module has to know this before it refuses one of these requests
             for request, unsure in self.watch.unsure():
-                self._decide(api.Unsure(request, unsure))
-        for queue in (self._news, self._events):
+                self._handle_event(api.Unsure(request, unsure))
+        for queue in (self._priority_events, self._events):
             for _ in range(len(queue)):
                 event = queue.popleft()
-                actions = self._decide(event)
+                actions = self._handle_event(event)
                 for action in actions:
-                    self._act(action, event)
+                    self._execute(action, event)
                 if self.watch is not None and isinstance(event, api.Request):
-                    self._tell_counted(event.id, actions)
+                    self._notify_counted(event.id, actions)
                 if isinstance(event, api.Expired) or (isinstance(event, api.Outcome) and event.final):
-                    self._open.pop(event.request, None)
+                    self._requests.pop(event.request, None)
 
-    def _decide(self, event: api.Event) -> list[api.Action]:
-        """What is to be done at an event. One request's trouble ends neither the process nor others."""
+    def _handle_event(self, event: api.Event) -> list[api.Action]:
+        """The module's actions for an event. An exception affects neither the process nor other requests."""
         try:
             return self._module.handle(self.clock.now(), event)
-        except Exception as fault:
-            internal_errors.caught(fault, f"the event {event}")
-            about, actions = _about(event), list[api.Action]()
-            if isinstance(fault, api.EventError):
-                about, actions = fault.request, fault.actions
+        except Exception as error:
+            internal_errors.caught(error, f"the event {event}")
+            request, actions = _request_of(event), list[api.Action]()
+            if isinstance(error, api.EventError):
+                request, actions = error.request, error.actions
             answered = [a.request for a in actions if isinstance(a, (api.Refuse, api.Fail))]
-            if about is not None and about not in answered:
-                self._give_up(about)
+            if request is not None and request not in answered:
+                self._abandon(request)
             return actions
 
-    def _tell_counted(self, request: int, actions: list[api.Action]) -> None:
+    def _notify_counted(self, request: int, actions: list[api.Action]) -> None:
         if self.watch is not None and any(isinstance(action, api.Count) for action in actions):
             self.watch.counted(request)
 
-    def _give_up(self, request: int) -> None:
-        """End a request without the module: as a refusal only where that is known to be harmless."""
-        self._withdraw(request)  # what has not been written yet never ran
-        held = self._open.get(request)
-        if held is None or held.over:
+    def _abandon(self, request: int) -> None:
+        """Answer a request without the module: with a refusal only if a retry is known to be safe."""
+        self._withdraw_attempts(request)  # these have not been written, so they never ran
+        open_request = self._requests.get(request)
+        if open_request is None or open_request.closed:
             return
-        repeatable = self._settings.classes[held.call.cls].effect is api.Effect.REPEATABLE
-        if repeatable or not (held.out or held.may_have_run):
+        repeatable = self._settings.classes[open_request.call.cls].effect is api.Effect.REPEATABLE
+        if repeatable or not (open_request.active or open_request.may_have_run):
             self._close(request, "refused")
-            self._answer(held, lambda call: call.refused(0))
+            self._respond(open_request, lambda call: call.refused(0))
         else:
             self._close(request, "failed")
-            self._answer(held, lambda call: call.failed())
+            self._respond(open_request, lambda call: call.failed())
         self.post(api.Expired(request))
 
     @staticmethod
-    def _answer(held: Open, tell: Callable[[Call], None]) -> None:
-        """Give the one answer. A front that can't must not keep the module from what has become of it."""
+    def _respond(open_request: OpenRequest, answer: Callable[[Call], None]) -> None:
+        """Send the final answer. If the front raises, the module must still be notified of the outcome."""
         try:
-            tell(held.call)
-        except Exception as fault:
-            internal_errors.caught(fault, "an answer")
-
-    def _withdraw(self, request: int) -> None:
-        """Guards servers against work that nobody waits for: connections may come up long after the end."""
-        held = self._open.get(request)
-        for number in range(held.attempts if held is not None and held.out else 0):
-            if (attempt := self._out.get((request, number))) is not None:
+            answer(open_request.call)
+        except Exception as error:
+            internal_errors.caught(error, "an answer")
+
+    def _withdraw_attempts(self, request: int) -> None:
+        """Prevents work for closed requests: a connection may be established long after the final answer."""
+        open_request = self._requests.get(request)
+        for number in range(open_request.attempts if open_request is not None and open_request.active else 0):
+            if (attempt := self._active.get((request, number))) is not None:
                 self.backend.withdraw(attempt)
 
-    def _act(self, action: api.Action, event: api.Event) -> None:
-        """Carry out one action. One that fails ends as such, and those behind it are carried out."""
+    def _execute(self, action: api.Action, event: api.Event) -> None:
+        """Execute one action. An exception ends only this one; the actions after it are still executed."""
         try:
             self._carry_out(action)
-        except Exception as fault:
-            internal_errors.caught(fault, f"the action {action}")
-            self._not_carried_out(action, event)
+        except Exception as error:
+            internal_errors.caught(error, f"the action {action}")
+            self._recover_from_failed_action(action, event)
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
             case api.Count():
-                self._count(action)
+                self._add_to_counter(action)
             case api.SetTimer():
                 self._loop.call_later(action.delay / 1e6, self.post, api.Timer(action.token))
             case api.Refuse():
-                if (held := self._close(action.request, "refused", action.cause)) is not None:
+                if (open_request := self._close(action.request, "refused", action.cause)) is not None:
                     wait = action.retry_after if self._settings.limits.retry_after else 0
-                    self._answer(held, lambda call: call.refused(wait))
-                self._open.pop(action.request, None)
+                    self._respond(open_request, lambda call: call.refused(wait))
+                self._requests.pop(action.request, None)
             case api.Fail():
-                if (held := self._close(action.request, "failed", action.cause)) is not None:
-                    self._answer(held, lambda call: call.failed())
-                self._open.pop(action.request, None)
+                if (open_request := self._close(action.request, "failed", action.cause)) is not None:
+                    self._respond(open_request, lambda call: call.failed())
+                self._requests.pop(action.request, None)
             case api.Cancel():
-                attempt = self._out.get((action.request, action.attempt))
+                attempt = self._active.get((action.request, action.attempt))
                 if attempt is not None:
                     self.backend.cancel(attempt)
             case api.Tell():
                 if self.peers is not None:
                     self.peers.tell(action.to, action.data)
             case api.Watch():
-                pass  # discovery is watched from the start, and for good
+                pass  # discovery is watched from the start until the process ends
             case _:
-                raise NotImplementedError(f"no code for the action {action}")
+                raise NotImplementedError(f"unsupported action: {action}")
 
-    def _not_carried_out(self, action: api.Action, event: api.Event) -> None:
-        """Nothing tells how far it came: an attempt may have run, units may have been added."""
+    def _recover_from_failed_action(self, action: api.Action, event: api.Event) -> None:
+        """Assume the worst: the attempt may have run, or the units may have been added."""
         match action:
             case api.Send():
-                out = [attempt for attempt in self._out.values() if attempt.request == action.request]
-                if out:
-                    self.finished(out[-1], api.Result.RESET)
+                active = [attempt for attempt in self._active.values() if attempt.request == action.request]
+                if active:
+                    self.finished(active[-1], api.Result.RESET)
                 else:
-                    self._give_up(action.request)
+                    self._abandon(action.request)
             case api.Count():
                 self.post(api.Counted(action.name, api.Result.RESET, 0, 0.0))
             case _:
-                if (request := _about(event)) is not None:
-                    self._give_up(request)
+                if (request := _request_of(event)) is not None:
+                    self._abandon(request)
 
-    def _count(self, action: api.Count) -> None:
+    def _add_to_counter(self, action: api.Count) -> None:
         if self.counter is not None:
             self.counter.add(action.name, action.amount, action.lifetime)
-        else:  # each call has its answer: this one was never made
+        else:  # the module expects one result for each call: report that this one was never made
             self.post(api.Counted(action.name, api.Result.CONNECT_FAILED, 0, 0.0))
 
     def _send(self, action: api.Send) -> None:
-        held = self._open[action.request]
-        number = held.attempts
-        held.attempts += 1
-        most = self._settings.limits.max_attempts
-        if held.over or number - min(held.unsent, most) >= most:
-            moot = api.Outcome(action.request, number, action.server, api.Result.NOT_SENT, 0, held.over)
-            self.post(moot)
+        open_request = self._requests[action.request]
+        number = open_request.attempts
+        open_request.attempts += 1
+        max_attempts = self._settings.limits.max_attempts
+        if open_request.closed or number - min(open_request.unsent, max_attempts) >= max_attempts:
+            not_sent = api.Outcome(
+                action.request, number, action.server, api.Result.NOT_SENT, 0, open_request.closed
+            )
+            self.post(not_sent)
             return
         now = self.clock.now()
-        left = max(0, held.until - now)
-        attempt = Attempt(action.request, number, action.server, held, now)
-        held.out += 1
-        self._out[(attempt.request, attempt.number)] = attempt
-        timeout = min(action.timeout or left, left)  # 0: until the client gives up
+        time_left = max(0, open_request.expires_at - now)
+        attempt = Attempt(action.request, number, action.server, open_request, now)
+        open_request.active += 1
+        self._active[(attempt.request, attempt.number)] = attempt
+        timeout = min(action.timeout or time_left, time_left)  # 0: as long as the client waits
         if self.shutdown is not None:
-            self.shutdown.attempt_begun(held.call.id, number, action.server, timeout / 1e6)
+            self.shutdown.attempt_begun(open_request.call.id, number, action.server, timeout / 1e6)
         self.backend.send(attempt, timeout)
 
-    def _close(self, request: int, how: str, cause: api.Cause | None = None) -> Open | None:
-        """The request's one answer is due now, unless it has had it."""
-        held = self._open.get(request)
-        if held is None or held.over:
+    def _close(self, request: int, how: str, cause: api.Cause | None = None) -> OpenRequest | None:
+        """Close a request that is about to get its final answer; None if it was closed before."""
+        open_request = self._requests.get(request)
+        if open_request is None or open_request.closed:
             return None
-        held.over = True
+        open_request.closed = True
         if self.tally is not None:
-            self.tally.ended(held.call.cls, held.call.plan, how, cause)
+            self.tally.ended(open_request.call.cls, open_request.call.plan, how, cause)
         if self.shutdown is not None:
-            self.shutdown.request_ended(held.call.id, how, "" if cause is None else cause.value)
-        held.deadline.cancel()
-        self._forget_id(held)
-        return held
-
-    def _forget_id(self, held: Open) -> None:
-        """Guards rule 2: an id stays taken while an attempt is out, also after the answer."""
-        if held.over and not held.out:
-            self._taken.discard(held.call.id)
-
-    def _outlived_at(self, request: int, until: int) -> asyncio.TimerHandle:
-        """Answer a request without the module where that has not done so by then, and a moment more."""
-        left = max(0, until - self.clock.now()) + LATE
-        return self._loop.call_later(left / 1e6, self._outlived, request)
-
-    def _outlived(self, request: int) -> None:
-        """Guards the one answer in time, whatever the module does."""
+            self.shutdown.request_ended(open_request.call.id, how, "" if cause is None else cause.value)
+        open_request.expiry_timer.cancel()
+        self._release_id(open_request)
+        return open_request
+
+    def _release_id(self, open_request: OpenRequest) -> None:
+        """Prevents a second copy at a server: an id stays in use while an attempt is active."""
+        if open_request.closed and not open_request.active:
+            self._ids_in_use.discard(open_request.call.id)
+
+    def _start_expiry_timer(self, request: int, expires_at: int) -> asyncio.TimerHandle:
+        """Have a request answered without the module if that does not answer by `expires_at` plus a grace."""
+        delay = max(0, expires_at - self.clock.now()) + ANSWER_GRACE
+        return self._loop.call_later(delay / 1e6, self._expire, request)
+
+    def _expire(self, request: int) -> None:
+        """Ensures one answer in time, whatever the module does."""
         if self._scheduled:
-            self._work()  # a loop that was held up has just ended its attempts: the module answers better
-        if request not in self._open or self._open[request].over:
+            # After a stall of the loop, attempts have just timed out: the module's answer is more precise.
+            self._process_events()
+        if request not in self._requests or self._requests[request].closed:
             return
-        log("the module let a request's time run out")
-        self._give_up(request)
+        log("the decision module did not answer a request in time")
+        self._abandon(request)
 
 
-def _about(event: api.Event) -> int | None:
-    """The request that an event names."""
+def _request_of(event: api.Event) -> int | None:
+    """The number of the request that an event is about; None if it is about none."""
     match event:
         case api.Request():
             return event.id
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -211,9 +211,9 @@
 
 async def finish(rig: Rig) -> None:
     """What is still out ends well, and every add has its total."""
-    while rig.engine.owed() or rig.counts or any(not attempt.over for attempt in rig.sent):
+    while rig.engine.owed() or rig.counts or any(not attempt.ended for attempt in rig.sent):
         for attempt in rig.sent:
-            if not attempt.over:
+            if not attempt.ended:
                 rig.engine.finished(attempt, Result.OK, b"value")
         await rig.count()
         await asyncio.sleep(0.002)
@@ -244,7 +244,9 @@
                 assert call.cls == REPEATABLE or call.answers != ["refused"] or not may_have_run
             await finish(rig)
             await rig.settle()
-            assert not rig.engine._open and not rig.engine._taken and not module._jobs  # nothing is kept
+            assert (
+                not rig.engine._requests and not rig.engine._ids_in_use and not module._jobs
+            )  # nothing is kept
             assert not any(server.out for server in module._servers.values())
             rig.tally.read({}, {})
             totals = dict(rig.tally.totals)
@@ -287,7 +289,7 @@
         call.served = broken  # type: ignore[method-assign, assignment]
         await rig.count()
         await rig.end(Result.OK)
-        assert not rig.engine._open and not rig.engine._module._jobs
+        assert not rig.engine._requests and not rig.engine._module._jobs
 
     run(play)
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -153,7 +153,7 @@
         assert await ends[0].readline() == b"-BUSY\r\n"
 
     assert api.Expired(1) in play(monkeypatch, script, scenario)
-    assert "time run out" in capfd.readouterr().err
+    assert "did not answer a request in time" in capfd.readouterr().err
 
 
 def test_one_answer_whatever_the_module_says_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -425,7 +425,7 @@
         assert await reader.readline() == b"-BUSY\r\n"
 
     play(monkeypatch, script, scenario)
-    assert "time run out" not in capfd.readouterr().err
+    assert "did not answer a request in time" not in capfd.readouterr().err
 
 
 def test_a_stop_brings_forward_the_answer_of_a_request_that_is_at_no_server(
