--- a/lynxreel/backends/__init__.py
+++ b/lynxreel/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Where attempts go out."""
+"""Connections to servers, on which attempts are sent."""
--- a/lynxreel/backends/load.py
+++ b/lynxreel/backends/load.py
@@ -5,19 +5,19 @@
 import math
 
 
-class Report:
-    """Reads reports that hold these fields, and perhaps others."""
+class LoadReport:
+    """Parses reports that contain the given fields, and possibly others."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
         self._fields = fields
 
     def read(self, text: bytes | None) -> tuple[float, ...]:
-        """The figures in the order of the fields; nothing where it is no report."""
+        """The values in the order of the fields; empty if the text is not a valid report."""
         if not text:
             return ()
         try:
-            given = dict(item.split("=", 1) for item in text.decode().split(","))
-            load = tuple(float(given[name]) for name in self._fields)
+            values = dict(item.split("=", 1) for item in text.decode().split(","))
+            load = tuple(float(values[name]) for name in self._fields)
         except (ValueError, KeyError):
             return ()
-        return load if all(math.isfinite(figure) and figure >= 0 for figure in load) else ()
+        return load if all(math.isfinite(value) and value >= 0 for value in load) else ()
--- a/lynxreel/backends/resp2.py
+++ b/lynxreel/backends/resp2.py
@@ -2,73 +2,77 @@
 
 from __future__ import annotations
 
-from lynxreel.backends.load import Report
-from lynxreel.backends.pools import Connection, End, Pool
+from lynxreel.backends.load import LoadReport
+from lynxreel.backends.pools import AnswerOutcome, Connection, Pool
 from lynxreel.engine.engine import Attempt
 from lynxreel.protocol import resp
 from mothgap.interface import Result, Settings
 
-ANSWER = 3  # items in an answer: the value, the figures on use, the load report
+ANSWER_ITEMS = 3  # items in an answer: the value, usage figures, the load report
 
 
 class Resp2:
-    """What such servers are sent, and what their answers mean."""
+    """Encodes requests for such servers, and interprets their answers."""
 
     def __init__(self) -> None:
-        self._report = Report(())
+        self._load_report = LoadReport(())
 
     def adopt(self, settings: Settings) -> None:
-        """Go by these settings from now on."""
-        self._report = Report(settings.report_fields)
-        # How load reports begin in error lines; none where answers hold no reports.
-        answers = not settings.report_by_probe
-        self._reports = tuple(b"%b=" % name.encode() for name in settings.report_fields) if answers else ()
+        """Use these settings from now on."""
+        self._load_report = LoadReport(settings.report_fields)
+        # The prefixes of load reports in error lines; none if answers carry no reports.
+        in_answers = not settings.report_by_probe
+        self._report_prefixes = (
+            tuple(b"%b=" % name.encode() for name in settings.report_fields) if in_answers else ()
+        )
 
     def connection(self, pool: Pool) -> Connection:
-        """A connection that has not come up yet."""
+        """A new connection, not established yet."""
         return _Connection(pool, self)
 
-    def end(self, answer: list[bytes | None] | bytes) -> End:
-        """What an answer means."""
+    def interpret(self, answer: list[bytes | None] | bytes) -> AnswerOutcome:
+        """The outcome of an answer: an array, or an error line without its first byte."""
         if isinstance(answer, list):
-            if len(answer) == ANSWER and answer[0] is not None:
-                return End(Result.OK, answer[0], self._report.read(answer[2]))
-            return End(Result.ERROR, known=False)
+            if len(answer) == ANSWER_ITEMS and answer[0] is not None:
+                return AnswerOutcome(Result.OK, answer[0], self._load_report.read(answer[2]))
+            return AnswerOutcome(Result.ERROR, valid=False)
         known = {b"BUSY": Result.FULL, b"ERR failed": Result.ERROR}
-        words, load = answer, None
-        if answer not in known and self._reports:
-            words, _, load = answer.rpartition(b" ")
-            if not (load.startswith(self._reports) and b"=" in load):
-                words = b""
-        # Only an exact BUSY tells that it never ran; anything else may have.
-        return End(known.get(words, Result.ERROR), load=self._report.read(load), known=words in known)
+        text, load = answer, None
+        if answer not in known and self._report_prefixes:
+            text, _, load = answer.rpartition(b" ")
+            if not (load.startswith(self._report_prefixes) and b"=" in load):
+                text = b""
+        # Only an exact BUSY proves that the request did not run; with any other answer it may have.
+        return AnswerOutcome(
+            known.get(text, Result.ERROR), load=self._load_report.read(load), valid=text in known
+        )
 
 
 class _Connection(Connection):
     def __init__(self, pool: Pool, wire: Resp2) -> None:
         super().__init__(pool)
         self._wire = wire
-        self._reader = resp.Reader(ANSWER, answers=True)
+        self._reader = resp.Reader(ANSWER_ITEMS, answers=True)
 
-    def _request(self, attempt: Attempt, wait: int) -> bytes:
+    def _encode_request(self, attempt: Attempt, wait: int) -> bytes:
         return attempt.call.command(wait)
 
-    def _answer(self, data: bytes) -> End | None:
+    def _parse_answer(self, data: bytes) -> AnswerOutcome | None:
         try:
             self._reader.feed(data)
             answer = self._reader.next()
-            while self._reader.large:
-                if self.stream is None and not self.begin(self._reader.large):
-                    return End(Result.ERROR, known=False)
-                piece = self._reader.piece()
+            while self._reader.large_remaining:
+                if self.stream is None and not self.begin_stream(self._reader.large_remaining):
+                    return AnswerOutcome(Result.ERROR, valid=False)
+                piece = self._reader.read_piece()
                 if self.stream is not None and piece:
-                    self.stream.piece(piece)
-                if self._reader.large or self.stream is None:
+                    self.stream.feed(piece)
+                if self._reader.large_remaining or self.stream is None:
                     return None
                 answer = self._reader.next()
         except resp.Malformed:
-            return End(Result.ERROR, known=False)
-        return None if answer is None else self._wire.end(answer)
+            return AnswerOutcome(Result.ERROR, valid=False)
+        return None if answer is None else self._wire.interpret(answer)
 
-    def _rest(self) -> bool:
+    def _is_at_end(self) -> bool:
         return self._reader.empty()
--- a/lynxreel/protocol/__init__.py
+++ b/lynxreel/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats without I/O."""
+"""Wire formats, without I/O."""
--- a/lynxreel/protocol/address.py
+++ b/lynxreel/protocol/address.py
@@ -1,4 +1,4 @@
-"""Where something listens."""
+"""Addresses of listeners."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def read_address(text: str) -> Address:
-    """A host and a port from `HOST:PORT`; a ValueError where it is none."""
+    """Host and port from `HOST:PORT`; raises ValueError if the text is not of this form."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65_536:
         raise ValueError(f"no address: {text!r}")
--- a/lynxreel/protocol/commands.py
+++ b/lynxreel/protocol/commands.py
@@ -1,4 +1,4 @@
-"""What boxes are sent for a call, from its strings: command, customer, id, list, and perhaps a body."""
+"""What is sent to boxes for a call, from its strings: command, customer, id, list of terms, optional body."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from lynxreel.protocol.exchange import Exchange
 
 
-def command(words: Sequence[bytes], wait: int) -> bytes:
-    """The command for a server, which is told how many microseconds the gateway waits."""
-    patience = b"d=%d" % max(1, wait // 1_000)
-    terms = b",".join([patience if t.startswith(b"d=") else t for t in words[3].split(b",")])
-    return resp.pack([*words[:3], terms, *words[4:]])
+def command(strings: Sequence[bytes], wait: int) -> bytes:
+    """The RESP2 command for a box, with the microseconds that the gateway waits for the answer."""
+    deadline = b"d=%d" % max(1, wait // 1_000)
+    terms = b",".join([deadline if t.startswith(b"d=") else t for t in strings[3].split(b",")])
+    return resp.pack([*strings[:3], terms, *strings[4:]])
 
 
-def exchange(words: Sequence[bytes], wait: int) -> Exchange:
-    """The same for a box that speaks HTTP: what its client asked, or a POST that says all of it."""
-    # Imported here: on the platform no box speaks HTTP.
-    from lynxreel.protocol.exchange import PACKED, WAIT, Exchange, unpack
+def exchange(strings: Sequence[bytes], wait: int) -> Exchange:
+    """The same for a box that speaks HTTP: the client's HTTP request, or a POST that carries a RESP2 call."""
+    # Imported here because no box of the platform speaks HTTP.
+    from lynxreel.protocol.exchange import PACKED_MARKER, WAIT, Exchange, unpack
 
-    if words[0] == PACKED:
-        return unpack(words, wait)
-    name, customer, number, terms = (word.decode("latin-1") for word in words[:4])
+    if strings[0] == PACKED_MARKER:
+        return unpack(strings, wait)
+    name, customer, number, terms = (string.decode("latin-1") for string in strings[:4])
     headers = (
         ("Lynxreel-Command", name),
         ("Lynxreel-Customer", customer),
@@ -34,4 +34,4 @@
         (WAIT, str(max(1, wait // 1_000))),
         ("Content-Type", "application/octet-stream"),
     )
-    return Exchange("POST", "/lynxreel/call", headers, b"".join(words[4:]), value=True)
+    return Exchange("POST", "/lynxreel/call", headers, b"".join(strings[4:]), body_only=True)
--- a/lynxreel/protocol/exchange.py
+++ b/lynxreel/protocol/exchange.py
@@ -1,4 +1,4 @@
-"""A request for a box that speaks HTTP/1.1, and its answer; between fronts, engine and backends."""
+"""Requests for boxes that speak HTTP/1.1, and their answers, as fronts, engine and backends pass them on."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """What a box is asked. `target` is in origin form; `headers` hold neither Host nor framing."""
+    """A request to a box. `target` is in origin form; `headers` contain neither Host nor framing fields."""
 
     method: str
     target: str
     headers: Fields
     body: bytes = b""
-    host: str = ""  # empty: the box's address
-    turned_away: frozenset[int] = frozenset()  # statuses that prove that a request has not begun
-    value: bool = False  # the body alone is passed on, so only 2xx is an answer
+    host: str = ""  # the Host field; empty: the box's address
+    rejection_statuses: frozenset[int] = frozenset()  # statuses that prove that the request did not start
+    body_only: bool = False  # the client gets the body without its status, so only 2xx counts as an answer
 
 
-PACKED = b"HTTP"  # the first of an exchange's strings
-WAIT = "Lynxreel-Wait-Ms"  # how long the gateway waits
+PACKED_MARKER = b"HTTP"  # the first string of a packed exchange
+WAIT = "Lynxreel-Wait-Ms"  # how long the gateway waits, in milliseconds
 
 
-def pack(asked: Exchange) -> tuple[bytes, ...]:
-    """What a box is asked, as strings that another instance can read."""
-    statuses = ",".join(map(str, sorted(asked.turned_away)))
-    head = (asked.method, asked.target, asked.host, statuses, str(int(asked.value)))
-    words = [*head, *(word for pair in asked.headers for word in pair)]
-    return PACKED, asked.body, *[word.encode("latin-1") for word in words]
+def pack(request: Exchange) -> tuple[bytes, ...]:
+    """A request as strings, from which another instance can resume it."""
+    statuses = ",".join(map(str, sorted(request.rejection_statuses)))
+    head = (request.method, request.target, request.host, statuses, str(int(request.body_only)))
+    strings = [*head, *(string for pair in request.headers for string in pair)]
+    return PACKED_MARKER, request.body, *[string.encode("latin-1") for string in strings]
 
 
-def unpack(words: Sequence[bytes], wait: int) -> Exchange:
-    """The same again, with the microseconds that the gateway waits now."""
-    method, target, host, statuses, value, *flat = [word.decode("latin-1") for word in words[2:]]
+def unpack(strings: Sequence[bytes], wait: int) -> Exchange:
+    """The request from its packed strings, with the microseconds that the gateway waits now."""
+    method, target, host, statuses, body_only, *flat = [string.decode("latin-1") for string in strings[2:]]
     pairs = zip(flat[::2], flat[1::2], strict=True)
     headers = tuple((name, str(max(1, wait // 1_000)) if name == WAIT else text) for name, text in pairs)
-    turned_away = frozenset(int(status) for status in statuses.split(",") if status)
-    return Exchange(method, target, headers, words[1], host, turned_away, value == "1")
+    rejection_statuses = frozenset(int(status) for status in statuses.split(",") if status)
+    return Exchange(method, target, headers, strings[1], host, rejection_statuses, body_only == "1")
 
 
 class Answer(bytes):
--- a/lynxreel/protocol/redis.py
+++ b/lynxreel/protocol/redis.py
@@ -1,12 +1,13 @@
-"""What a counter needs of the Redis protocol, without I/O: commands out, replies in. RESP2 and RESP3 alike.
+"""The subset of the Redis protocol that a counter needs, without I/O: encodes commands, interprets replies.
 
-One call is one transaction, written at once and so one round trip:
+Works with RESP2 and RESP3. A call is one transaction, written in one piece and so one round trip:
 
-    MULTI / SET key 0 PX life NX / INCRBYFLOAT key amount / EXEC
+    MULTI / SET key 0 PX lifetime NX / INCRBYFLOAT key amount / EXEC
 
-The key begins at 0 with its life, or is left alone, and the amount is added, as one step: a plain INCRBYFLOAT
-would make a key without a life where the old one has just ended. It needs no scripts, which some hosted
-services forbid, no version past 2.6.12, and one slot, so it works on a cluster. Source: redis.io/commands.
+One atomic step creates the key with the value 0 and its lifetime unless it exists, and adds the amount. A
+plain INCRBYFLOAT would create a key without a lifetime if the old one has just expired. The transaction needs
+no scripts, which some hosted services forbid, no version after 2.6.12, and only one slot, so that it works on
+a cluster. Source: redis.io/commands.
 """
 
 from __future__ import annotations
@@ -20,20 +21,25 @@
 from mothgap.interface import Result
 
 SLOTS = 16_384
-PARTS = 4  # replies to a call
+PARTS = 4  # replies to one call
 ASKING = b"*1\r\n$6\r\nASKING\r\n"
 MULTI = b"*1\r\n$5\r\nMULTI\r\n"
 EXEC = b"*1\r\n$4\r\nEXEC\r\n"
-LEAVE = ("READONLY", "MASTERDOWN", "LOADING", "NOAUTH")  # what answers so is not the one to call
+UNUSABLE_SERVER_ERRORS = (
+    "READONLY",
+    "MASTERDOWN",
+    "LOADING",
+    "NOAUTH",
+)  # this server can't serve the counter
 
 
 class Fault(Exception):
-    """An error reply; the text begins with its kind."""
+    """An error reply; its text begins with the kind of error."""
 
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """The slot is elsewhere: for good (MOVED), or for this call (ASK). Nothing was added."""
+    """The slot is on another node: permanently (MOVED), or for this call only (ASK). Nothing was added."""
 
     address: Address
     slot: int
@@ -42,31 +48,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The call's outcome. `leave`: the connection is of no use for further calls."""
+    """The result of a call. `leave`: the connection can't be used for further calls."""
 
     result: Result
     total: float = 0.0
     leave: bool = False
 
 
-def command(*words: bytes | str | int) -> bytes:
-    """One command."""
-    parts = [word if isinstance(word, bytes) else str(word).encode() for word in words]
+def command(*arguments: bytes | str | int) -> bytes:
+    """Encode one command."""
+    parts = [argument if isinstance(argument, bytes) else str(argument).encode() for argument in arguments]
     return b"*%d\r\n%b" % (len(parts), b"".join([b"$%d\r\n%b\r\n" % (len(part), part) for part in parts]))
 
 
-def add(key: bytes, amount: float, life: int) -> bytes:
-    """A call: `life` in milliseconds, for a key that is new."""
-    number = b"%.6f" % amount
-    span = b"%d" % life
+def add(key: bytes, amount: float, lifetime: int) -> bytes:
+    """Encode one call; `lifetime` is in milliseconds and applies if the key does not exist."""
+    value = b"%.6f" % amount
+    expiry = b"%d" % lifetime
     return (
         b"*1\r\n$5\r\nMULTI\r\n*6\r\n$3\r\nSET\r\n$%d\r\n%b\r\n$1\r\n0\r\n$2\r\nPX\r\n$%d\r\n%b\r\n$2\r\nNX\r\n"
         b"*3\r\n$11\r\nINCRBYFLOAT\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n*1\r\n$4\r\nEXEC\r\n"
-    ) % (len(key), key, len(span), span, len(key), key, len(number), number)
+    ) % (len(key), key, len(expiry), expiry, len(key), key, len(value), value)
 
 
 def slot(key: bytes) -> int:
-    """The cluster's slot of a key: CRC-16 (XMODEM) of it, or of what stands in its first braces."""
+    """The cluster's slot of a key: CRC-16 (XMODEM) of the text in its first braces, or of all of it."""
     begin = key.find(b"{")
     end = key.find(b"}", begin + 1)
     if begin >= 0 and end > begin + 1:
@@ -75,32 +81,34 @@
 
 
 def outcome(replies: list[Any]) -> Done | Redirect:
-    """What the four replies to a call come to. Errors are given as exceptions."""
-    fault = next((str(reply) for reply in replies if isinstance(reply, Exception)), None)
-    if fault is not None:
-        kind, _, rest = fault.partition(" ")
+    """Interpret the four replies to a call. Error replies are expected as exceptions."""
+    error = next((str(reply) for reply in replies if isinstance(reply, Exception)), None)
+    if error is not None:
+        kind, _, rest = error.partition(" ")
         if kind in ("MOVED", "ASK"):
-            number, _, place = rest.partition(" ")
-            host, _, port = place.rpartition(":")
+            number, _, address = rest.partition(" ")
+            host, _, port = address.rpartition(":")
             if number.isdigit() and port.isdigit():
                 return Redirect((host, int(port)), int(number), kind == "ASK")
-        return Done(Result.FULL, leave=kind in LEAVE)  # refused before EXEC, or by it: nothing was added
-    done = replies[-1]
-    if not isinstance(done, list) or len(done) != 2:
-        return Done(Result.RESET, leave=True)  # no such answer: it may have been added
-    if isinstance(done[1], Exception):
-        return Done(Result.FULL)  # the key holds something that is no number
+        # The call was rejected before or by EXEC, so nothing was added.
+        return Done(Result.FULL, leave=kind in UNUSABLE_SERVER_ERRORS)
+    results = replies[-1]
+    if not isinstance(results, list) or len(results) != 2:
+        return Done(Result.RESET, leave=True)  # not a reply to EXEC: the amount may have been added
+    if isinstance(results[1], Exception):
+        return Done(Result.FULL)  # the key holds a value that is not a number
     try:
-        total = float(done[1])
+        total = float(results[1])
     except (TypeError, ValueError):
         total = math.nan
     return Done(Result.OK, total) if math.isfinite(total) else Done(Result.RESET, leave=True)
 
 
 def slot_map(reply: Any, asked: Address) -> list[tuple[int, int, Address]]:
-    """Ranges of slots and their primaries, from CLUSTER SLOTS; a ValueError where it is none.
+    """Ranges of slots (first, last) and their primaries, from a reply to CLUSTER SLOTS.
 
-    A node that does not know its own host gives an empty one: it is where it was asked.
+    A node that does not know its own host reports an empty one; `asked`, the address that sent the reply,
+    supplies it. Raises ValueError if the reply is not valid.
     """
     try:
         ranges = []
--- a/lynxreel/protocol/resp.py
+++ b/lynxreel/protocol/resp.py
@@ -1,91 +1,105 @@
-"""One bounded reader of RESP2, for clients' commands and servers' answers, and its writer.
+"""A RESP2 reader with limits on sizes, for clients' commands and servers' answers, and a writer.
 
-A library's reader makes room for whatever length is announced, before the bytes are there. Here each type,
-count and length is judged when its line is whole, so that no peer makes the gateway hold more than a message.
+The readers of libraries allocate memory for any announced length before the bytes arrive. This one checks
+each type, count and length as soon as its line is complete, so that no peer makes the gateway hold more than
+one message.
 """
 
 from __future__ import annotations
 
-MOST_VALUE = 64 * 1024  # bytes in a string
-MOST_STREAM = 4 * 1024 * 1024  # bytes in an answer's value, where that is passed on as it comes
-MOST_MESSAGE = MOST_VALUE + 4 * 1024  # bytes in all strings of a message: one value and what goes with it
-MOST_HEADER = 16  # bytes in the line of a count or a length
-MOST_LINE = 512  # bytes in an error line
+MAX_VALUE = 64 * 1024  # bytes in a string
+MOST_STREAM = 4 * 1024 * 1024  # bytes in an answer's value that is forwarded while it arrives
+MAX_MESSAGE = MAX_VALUE + 4 * 1024  # bytes in all strings of a message: one value and its metadata
+MAX_HEADER = 16  # bytes in the line of a count or a length
+MAX_ERROR_LINE = 512  # bytes in an error line
 BULK, ARRAY, ERROR = b"$", b"*", b"-"
 
 
 class Malformed(ValueError):
-    """What came is no message, or none that may come here; what follows it can't be told apart."""
+    """The input is not a valid message here; where the next message starts is unknown."""
 
 
-def pack(words: list[bytes]) -> bytes:
-    """A command, or any array of strings."""
-    return b"*%d\r\n%b" % (len(words), b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words]))
+def pack(strings: list[bytes]) -> bytes:
+    """Encode a command, or any array of strings."""
+    return b"*%d\r\n%b" % (len(strings), b"".join([b"$%d\r\n%b\r\n" % (len(item), item) for item in strings]))
 
 
 class Reader:
-    """Reads flat arrays of strings; where they are answers, also error lines, and items that are no strings.
+    """Reads flat arrays of strings; with `answers` also error lines, and items that are not strings.
 
-    An item that is whole but no string (null, a number, a line) is given as None. An answer's first string
-    may be larger than a message: `large` is then what is missing of it, `piece` gives it as it comes, and in
-    the array it is empty.
+    A complete item that is not a string (null, a number, a line) is returned as None. An answer's first
+    string may be larger than a message: `large_remaining` is then the number of its bytes that have not been
+    read, `read_piece` returns them as they arrive, and in the array this string is empty.
     """
 
-    __slots__ = ("_answers", "_at", "_bytes", "_data", "_items", "_length", "_missing", "_most", "large")
-
-    def __init__(self, most: int, answers: bool = False) -> None:
-        self._most, self._answers = most, answers
-        self._data: bytes | bytearray = b""  # what has come
-        self._at = 0  # how much of that has been read
+    __slots__ = (
+        "_answers",
+        "_announced",
+        "_data",
+        "_items",
+        "_items_missing",
+        "_length",
+        "_max_items",
+        "_position",
+        "large_remaining",
+    )
+
+    def __init__(self, max_items: int, answers: bool = False) -> None:
+        self._max_items, self._answers = max_items, answers
+        self._data: bytes | bytearray = b""  # the bytes received
+        self._position = 0  # how many of them have been read
         self._items: list[bytes | None] = []
-        self._missing = 0  # items of the array at hand that have not come
-        self._length = -1  # of the string at hand; -1 before it is known
-        self._bytes = 0  # announced for the array at hand
-        self.large = 0
+        self._items_missing = 0  # items of the current array that have not arrived
+        self._length = -1  # of the current string; -1 before it is known
+        self._announced = 0  # sum of the lengths in the current array
+        self.large_remaining = 0
 
     def feed(self, data: bytes) -> None:
-        """Take what has come."""
-        if self._at >= len(self._data):
-            self._data, self._at = data, 0
+        """Add bytes that have been received."""
+        if self._position >= len(self._data):
+            self._data, self._position = data, 0
             return
-        # Added to where it is: joined anew, a string in many pieces would cost its length for each of them.
+        # Appended in place: concatenating would copy a string in many pieces once for each of them.
         if isinstance(self._data, bytes):
-            self._data, self._at = bytearray(self._data[self._at :]), 0
-        elif self._at > MOST_VALUE:
-            del self._data[: self._at]
-            self._at = 0
+            self._data, self._position = bytearray(self._data[self._position :]), 0
+        elif self._position > MAX_VALUE:
+            del self._data[: self._position]
+            self._position = 0
         self._data += data
 
     def empty(self) -> bool:
-        """True between messages, with nothing behind the last."""
-        return self._at >= len(self._data) and not self._missing
-
-    def piece(self) -> bytes:
-        """What has come of the large string, and takes it away from what is missing of it."""
-        piece = bytes(self._data[self._at : self._at + self.large])
-        self._at += len(piece)
-        self.large -= len(piece)
+        """Whether all input has been read and ends with a complete message."""
+        return self._position >= len(self._data) and not self._items_missing
+
+    def read_piece(self) -> bytes:
+        """Read the bytes of the large string that have arrived, and subtract them from `large_remaining`."""
+        piece = bytes(self._data[self._position : self._position + self.large_remaining])
+        self._position += len(piece)
+        self.large_remaining -= len(piece)
         return piece
 
     def next(self) -> list[bytes | None] | bytes | None:
-        """The next message: an array, or an error line without its first byte; None until more has come."""
-        if not self._missing:
+        """The next message: an array, or an error line without its first byte; None if it is not complete.
+
+        Raises Malformed if the input is not valid.
+        """
+        if not self._items_missing:
             line = self._line(ARRAY + ERROR if self._answers else ARRAY)
             if line is None:
                 return None
             if line[:1] == ERROR:
                 return bytes(line[1:])
-            self._missing = self._number(line, self._most)
-            if not self._missing:
+            self._items_missing = self._number(line, self._max_items)
+            if not self._items_missing:
                 raise Malformed("an array of nothing")
-            self._items, self._bytes = [], 0
-        while self._missing:
-            if not self._item():
+            self._items, self._announced = [], 0
+        while self._items_missing:
+            if not self._read_item():
                 return None
-            self._missing -= 1
+            self._items_missing -= 1
         return self._items
 
-    def _item(self) -> bool:
+    def _read_item(self) -> bool:
         if self._length < 0:
             line = self._line(b"$:+-*" if self._answers and self._items else BULK)
             if line is None:
@@ -97,43 +111,43 @@
                 return True
             if self._answers and not self._items:
                 self._length = self._number(line, MOST_STREAM)
-                if self._length > MOST_VALUE:
-                    self.large, self._length = self._length, 0
+                if self._length > MAX_VALUE:
+                    self.large_remaining, self._length = self._length, 0
             else:
-                self._length = self._number(line, MOST_VALUE)
-            self._bytes += self._length
-            if self._bytes > MOST_MESSAGE:
+                self._length = self._number(line, MAX_VALUE)
+            self._announced += self._length
+            if self._announced > MAX_MESSAGE:
                 raise Malformed("too much for one message")
-        if self.large:
+        if self.large_remaining:
             return False
-        end = self._at + self._length
+        end = self._position + self._length
         if len(self._data) < end + 2:
             return False
         if self._data[end : end + 2] != b"\r\n":
             raise Malformed("a length that does not fit")
-        item = self._data[self._at : end]
+        item = self._data[self._position : end]
         self._items.append(item if isinstance(item, bytes) else bytes(item))
-        self._at, self._length = end + 2, -1
+        self._position, self._length = end + 2, -1
         return True
 
     def _line(self, types: bytes) -> bytes | bytearray | None:
-        """A line that begins with one of these types; judged before its end has come."""
-        data, at = self._data, self._at
-        if at >= len(data):
+        """The next line, which must begin with one of these types; checked before its end has arrived."""
+        data, position = self._data, self._position
+        if position >= len(data):
             return None
-        if data[at] not in types:
+        if data[position] not in types:
             raise Malformed("an unexpected type")
-        most = MOST_HEADER if data[at] in b"$*" else MOST_LINE
-        end = data.find(b"\r\n", at, at + most)
+        max_length = MAX_HEADER if data[position] in b"$*" else MAX_ERROR_LINE
+        end = data.find(b"\r\n", position, position + max_length)
         if end < 0:
-            if len(data) - at >= most:
+            if len(data) - position >= max_length:
                 raise Malformed("a line without an end")
             return None
-        self._at = end + 2
-        return data[at:end]
+        self._position = end + 2
+        return data[position:end]
 
     @staticmethod
-    def _number(line: bytes | bytearray, most: int) -> int:
-        if not line[1:].isdigit() or (number := int(line[1:])) > most:
+    def _number(line: bytes | bytearray, maximum: int) -> int:
+        if not line[1:].isdigit() or (number := int(line[1:])) > maximum:
             raise Malformed("a count or length out of range")
         return number
--- a/lynxreel/relay/__init__.py
+++ b/lynxreel/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Values passed on as they come: how much may be held of them, and a stream from a server to a client."""
+"""Values that are forwarded while they arrive: a memory budget, and a stream from a server to a client."""
--- a/lynxreel/relay/budget.py
+++ b/lynxreel/relay/budget.py
@@ -1,56 +1,57 @@
-"""How much this process holds of all streams. No I/O: what is held goes in, what may be read comes out.
+"""Limits how many bytes of all streams this process buffers. No I/O.
 
-Each stream may read what is left of its even share, and of the whole. One that holds nothing may always read
-LEAST, so that none starves whatever the others hold. More than the whole and LEAST a stream is never held.
+Each stream may read up to its even share, and all together up to the whole budget. A stream with nothing
+buffered may always read MIN_READ, so that none starves, whatever the others buffer. In total, no more than
+the budget plus MIN_READ for each stream is buffered.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-LEAST = 4 * 1024  # bytes that a stream with nothing on hand may read
-MOST = 64 * 1024  # bytes on hand of one stream; more gains nothing
+MIN_READ = 4 * 1024  # bytes that a stream with an empty buffer may read
+MAX_READ = 64 * 1024  # bytes buffered of one stream; more gains nothing
 
 
 class Budget:
-    """Of one process. Streams are whatever keys its users have for them."""
+    """One process's budget. Streams are identified by any hashable key."""
 
-    def __init__(self, whole: int) -> None:
-        """`whole`: bytes, of all streams."""
-        self.whole = whole
-        self.held = 0
+    def __init__(self, limit: int) -> None:
+        """`limit`: bytes, for all streams together."""
+        self.limit = limit
+        self.buffered = 0
         self._streams: dict[Hashable, int] = {}
 
     def __len__(self) -> int:
-        """Streams that are open."""
+        """Number of open streams."""
         return len(self._streams)
 
     def open(self, stream: Hashable) -> None:
-        """One more, with nothing on hand."""
+        """Add a stream, with nothing buffered."""
         self._streams.setdefault(stream, 0)
 
     def close(self, stream: Hashable) -> None:
-        """It has ended, and what was held of it is gone."""
-        self.held -= self._streams.pop(stream, 0)
+        """Remove a stream that has ended; its buffered bytes have been released."""
+        self.buffered -= self._streams.pop(stream, 0)
 
-    def hold(self, stream: Hashable, held: int) -> None:
-        """So many bytes of it are on hand now. One that has been closed holds nothing."""
+    def set_buffered(self, stream: Hashable, size: int) -> None:
+        """Set how many bytes of a stream are buffered. For a closed stream this has no effect."""
         if stream in self._streams:
-            self.held += held - self._streams[stream]
-            self._streams[stream] = held
+            self.buffered += size - self._streams[stream]
+            self._streams[stream] = size
 
     def allowance(self, stream: Hashable) -> int:
-        """Bytes that may be read of it now; 0: it must wait until less of it is on hand.
+        """Bytes of a stream that may be read now; 0: none until some of its buffered bytes have been written.
 
-        Less than LEAST is not worth a read: a slow reader would be served in ever smaller ones.
+        Less than MIN_READ is not worth a read: a slow reader would be served in smaller and smaller pieces.
         """
-        held = self._streams.get(stream, 0)
-        room = min(self.read - held, self.whole - self.held)
-        if room >= LEAST:
-            return room
-        return 0 if held else LEAST
+        buffered = self._streams.get(stream, 0)
+        available = min(self.read_size - buffered, self.limit - self.buffered)
+        if available >= MIN_READ:
+            return available
+        return 0 if buffered else MIN_READ
 
     @property
-    def read(self) -> int:
-        """Bytes that one read may bring; also of an answer that may turn out to be a stream."""
-        return max(LEAST, min(MOST, self.whole // (len(self._streams) + 1)))
+    def read_size(self) -> int:
+        """Maximum bytes for one read, also for the read of an answer that may turn out to be a stream."""
+        return max(MIN_READ, min(MAX_READ, self.limit // (len(self._streams) + 1)))
--- a/lynxreel/relay/stream.py
+++ b/lynxreel/relay/stream.py
@@ -1,4 +1,4 @@
-"""One value on its way from a server to a client, piece by piece. No I/O: both ends are handed in."""
+"""Forwards one value from a server to a client, piece by piece. No I/O: both ends are passed in."""
 
 from __future__ import annotations
 
@@ -8,85 +8,85 @@
 
 
 class Source(Protocol):
-    """The server's side."""
+    """The connection to the server."""
 
-    def read_on(self, most: int) -> None:
-        """Read so many bytes at a time from now on; 0: none."""
+    def set_read_limit(self, limit: int) -> None:
+        """Read at most this many bytes at a time from now on; 0: pause reading."""
 
     def abandon(self) -> None:
-        """Nobody wants the rest."""
+        """The rest of the value is not needed."""
 
 
 class Sink(Protocol):
-    """The client's side."""
+    """The connection to the client."""
 
     def pass_on(self, data: bytes) -> int:
-        """Write; how many bytes of it and of what came before are still on hand."""
+        """Write a piece of the value; returns how many written bytes are still buffered."""
 
     def finish(self) -> None:
-        """The value is whole."""
+        """The value is complete."""
 
     def break_off(self) -> None:
-        """It will never be whole, and the client must be able to tell."""
+        """The value will never be complete; the client must be able to detect this."""
 
 
 class Stream:
-    """A value of `length` bytes. It begins at its source; its sink comes when it is its turn there."""
+    """A value of `length` bytes. Its source starts it; its sink is attached after the earlier answers."""
 
     def __init__(self, length: int, budget: Budget, source: Source) -> None:
         self.length, self.passed = length, 0
         self._budget, self._source = budget, source
         self._sink: Sink | None = None
-        self._kept: list[bytes] = []  # before it has a sink
-        self._ended: bool | None = None  # whole or not, once that is known
+        self._pieces: list[bytes] = []  # received before the sink was attached
+        self._complete: bool | None = None  # whether the value arrived in full; None while it is arriving
         budget.open(self)
 
     @property
     def attached(self) -> bool:
-        """It has its sink."""
+        """Whether a sink is attached."""
         return self._sink is not None
 
-    def piece(self, data: bytes) -> None:
-        """The next bytes of the value."""
+    def feed(self, data: bytes) -> None:
+        """Add the next bytes of the value."""
         if self._sink is None:
-            self._kept.append(data)
-            self.drained(sum(map(len, self._kept)))
+            self._pieces.append(data)
+            self.drained(sum(map(len, self._pieces)))
         else:
             self.passed += len(data)
             self.drained(self._sink.pass_on(data))
 
     def attach(self, sink: Sink) -> None:
-        """It is its turn: what has come goes on, and the rest as it comes."""
+        """Forward the bytes received so far to the sink, and the rest as it arrives."""
         self._sink = sink
-        kept, self._kept = b"".join(self._kept), []
-        if kept:
-            self.piece(kept)
-        if self._ended is not None:
-            self._tell(self._ended)
-
-    def drained(self, held: int) -> None:
-        """So many bytes are on hand now."""
-        self._budget.hold(self, held)
-        if self._ended is None:
-            self._source.read_on(self._budget.allowance(self))
-
-    def ended(self, whole: bool) -> None:
-        """Nothing more comes: all of it and a good end, or what is left will never come."""
-        if self._ended is None:
-            self._ended = whole
+        received, self._pieces = b"".join(self._pieces), []
+        if received:
+            self.feed(received)
+        if self._complete is not None:
+            self._end_sink(self._complete)
+
+    def drained(self, buffered: int) -> None:
+        """Report how many bytes are still buffered, and adapt the source's read limit."""
+        self._budget.set_buffered(self, buffered)
+        if self._complete is None:
+            self._source.set_read_limit(self._budget.allowance(self))
+
+    def end(self, complete: bool) -> None:
+        """The source has ended: the value arrived in full and valid, or the rest will never arrive."""
+        if self._complete is None:
+            self._complete = complete
             if self._sink is not None:
-                self._tell(whole)
+                self._end_sink(complete)
 
-    def _tell(self, whole: bool) -> None:
+    def _end_sink(self, complete: bool) -> None:
         assert self._sink is not None
-        if whole:
+        if complete:
             self._sink.finish()
         else:
             self._sink.break_off()
 
     def gone(self) -> None:
-        """The client has left, or has it all."""
+        """Release the stream: the client has the whole value, or has disconnected."""
         self._budget.close(self)
-        if self._ended is None:
-            self._ended = False
+        if self._complete is None:
+            self._complete = False
             self._source.abandon()
--- a/tests/test_http_boxes.py
+++ b/tests/test_http_boxes.py
@@ -33,7 +33,7 @@
 from tests.net import run as run_short
 from tests.test_http import OK, Client, came, customers, description, web, young
 
-GET = Exchange("GET", "/v1/numbers/1", (("Accept", "*/*"),), turned_away=frozenset({503}))
+GET = Exchange("GET", "/v1/numbers/1", (("Accept", "*/*"),), rejection_statuses=frozenset({503}))
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 from lynxreel.engine.engine import Attempt, Engine
 from lynxreel.fronts.resp2 import Clients
 from lynxreel.protocol.resp import MOST_STREAM
-from lynxreel.relay.budget import LEAST, Budget
+from lynxreel.relay.budget import MIN_READ, Budget
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Member, Result, State
 from tests.helpers import SETTINGS
@@ -38,30 +38,30 @@
             del held[stream]
         else:
             held[stream] += int(budget.allowance(stream) * part)
-            budget.hold(stream, held[stream])
+            budget.set_buffered(stream, held[stream])
             if part < 0.3:
                 held[stream] = int(held[stream] * part)
-                budget.hold(stream, held[stream])
-        assert budget.held == sum(held.values()) <= budget.whole + LEAST * len(held)
+                budget.set_buffered(stream, held[stream])
+        assert budget.buffered == sum(held.values()) <= budget.limit + MIN_READ * len(held)
         for number, bytes_held in held.items():
-            assert bytes_held or budget.allowance(number) >= LEAST
+            assert bytes_held or budget.allowance(number) >= MIN_READ
 
 
 def test_what_is_left_of_a_share_is_not_read_in_crumbs() -> None:
     budget = Budget(1 << 20)
     budget.open("a")
-    budget.hold("a", budget.read - LEAST + 1)
+    budget.set_buffered("a", budget.read_size - MIN_READ + 1)
     assert budget.allowance("a") == 0
-    budget.hold("a", budget.read - LEAST)
-    assert budget.allowance("a") == LEAST
+    budget.set_buffered("a", budget.read_size - MIN_READ)
+    assert budget.allowance("a") == MIN_READ
 
 
 def test_a_lone_stream_that_holds_its_share_reads_nothing_until_some_has_left() -> None:
     budget = Budget(1 << 20)
     budget.open("a")
-    budget.hold("a", budget.allowance("a"))
+    budget.set_buffered("a", budget.allowance("a"))
     assert budget.allowance("a") == 0
-    budget.hold("a", 10)
+    budget.set_buffered("a", 10)
     assert budget.allowance("a") > 0
 
 
@@ -136,7 +136,7 @@
 def test_a_value_in_pieces_cut_anywhere_comes_whole_and_its_connection_is_used_again(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("lynxreel.backends.pools.SETTLE", 0.0)
+    monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 0.0)
 
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
@@ -154,7 +154,7 @@
             assert await reader.readexactly(len(wanted)) == wanted
             assert (await way.bridge.ended.get())[1] is Result.OK
         assert len(way.peer.writers) == 1
-        assert (len(way.budget), way.budget.held) == (0, 0)
+        assert (len(way.budget), way.budget.buffered) == (0, 0)
         assert not way.clients.streams
 
     play(scenario)
@@ -191,12 +191,12 @@
         await settled(lambda: len(way.budget) == 12)
         await asyncio.sleep(0.3)
         kept = sum(c.transport.get_write_buffer_size() for c in way.clients.connections)
-        assert 0 < kept <= way.budget.whole + 12 * LEAST
-        assert way.budget.held <= way.budget.whole + 12 * LEAST
+        assert 0 < kept <= way.budget.limit + 12 * MIN_READ
+        assert way.budget.buffered <= way.budget.limit + 12 * MIN_READ
         for reader, writer in slow:
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert await reader.readexactly(LARGE + 12) == b"$%d\r\n%b\r\n" % (LARGE, sent)
-        assert way.budget.held == 0
+        assert way.budget.buffered == 0
 
     play(scenario, budget=128 * 1024)
 
@@ -288,9 +288,9 @@
         sent = value(1_000_000)
         second.write(head(len(sent)) + sent + TAIL)
         third.write(b"*3\r\n$1\r\nz" + TAIL)
-        await settled(lambda: way.budget.held > 0)
+        await settled(lambda: way.budget.buffered > 0)
         await asyncio.sleep(0.05)
-        assert way.budget.held <= way.budget.whole
+        assert way.budget.buffered <= way.budget.limit
         first.write(b"*3\r\n$1\r\ny" + TAIL)
         wanted = b"$1\r\ny\r\n$1000000\r\n" + sent + b"\r\n$1\r\nz\r\n"
         assert await reader.readexactly(len(wanted)) == wanted
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lynxreel.protocol.resp import MOST_LINE, MOST_VALUE, Malformed, Reader, pack
+from lynxreel.protocol.resp import MAX_ERROR_LINE, MAX_VALUE, Malformed, Reader, pack
 
 
 def read(data: bytes, answers: bool, step: int) -> list[object]:
@@ -46,9 +46,14 @@
         command.next()
     answer = Reader(3, True)
     answer.feed(b"*2\r\n$65537\r\nabc")
-    assert (answer.next(), answer.large, answer.piece(), answer.large) == (None, 65_537, b"abc", 65_534)
+    assert (answer.next(), answer.large_remaining, answer.read_piece(), answer.large_remaining) == (
+        None,
+        65_537,
+        b"abc",
+        65_534,
+    )
     answer.feed(b"x" * 65_534 + b"\r\n$1\r\ny")
-    assert (len(answer.piece()), answer.large, answer.next()) == (65_534, 0, None)
+    assert (len(answer.read_piece()), answer.large_remaining, answer.next()) == (65_534, 0, None)
     answer.feed(b"\r\n")
     assert (answer.next(), answer.empty()) == ([b"", b"y"], True)
     answer.feed(b"*2\r\n$1\r\nx\r\n$65537\r\n")
@@ -78,7 +83,7 @@
         b"*1\r\n$3000000000\r\n",
         b"*1\r\n$-3\r\n",
         b"*99999999999999999",
-        b"*2\r\n$65536\r\n" + b"x" * MOST_VALUE + b"\r\n$65536\r\n",
+        b"*2\r\n$65536\r\n" + b"x" * MAX_VALUE + b"\r\n$65536\r\n",
         b"*1\r\n$1\r\nxyz",
         b"*1\r\n$1\r\nx\r\n*1000000000\r\n",
     ],
@@ -94,7 +99,7 @@
 
 def test_an_error_line_without_an_end_is_judged_at_its_bound() -> None:
     reader = Reader(3, answers=True)
-    reader.feed(b"-" + b"x" * (MOST_LINE - 2))
+    reader.feed(b"-" + b"x" * (MAX_ERROR_LINE - 2))
     assert reader.next() is None
     reader.feed(b"x")
     with pytest.raises(Malformed):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lynxreel.engine.engine import Attempt, Engine
-from lynxreel.backends.pools import Ages, Servers
+from lynxreel.backends.pools import IdleTimes, Servers
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.relay.budget import Budget
 from mothgap.interface import Limits, Member, Result, State
@@ -40,7 +40,7 @@
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections are used again at once, but where a test is about their rest."""
-    monkeypatch.setattr("lynxreel.backends.pools.SETTLE", 0.0)
+    monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 0.0)
 
 
 def at(port: int, state: State = State.READY, started: int = 0) -> list[tuple[Member, tuple[str, int]]]:
@@ -266,7 +266,7 @@
                 bench.servers.close()
                 assert (await peer.hear())[1] == b""
 
-    monkeypatch.setattr(Servers, "_turn_off", lambda *_: None)
+    monkeypatch.setattr(Servers, "_withdraw_unsent", lambda *_: None)
     run(scenario)
 
 
@@ -295,14 +295,14 @@
                 bench.servers.adopt(replace(FAST, handshake_price=price), 60_000_000, 3)
                 bench.servers.open_ahead(["s-1", "unknown"], 5)
                 await asyncio.sleep(0)
-                while bench.servers.open < opened or bench.servers._ahead:
+                while bench.servers.open < opened or bench.servers._preconnecting:
                     await asyncio.sleep(0)
-                assert (bench.servers.open, len(bench.servers._ahead)) == (opened, 0)
+                assert (bench.servers.open, len(bench.servers._preconnecting)) == (opened, 0)
             bench.send()
-            assert not bench.servers._connects
+            assert not bench.servers._connecting
             bench.servers.update(at(peer.port, State.DRAINING), False)
             bench.servers.open_ahead(["s-1"], 1)
-            assert not bench.servers._ahead
+            assert not bench.servers._preconnecting
 
     run(scenario)
 
@@ -314,7 +314,7 @@
             bench.servers.update(at(peer.port, State.DRAINING), False)
             bench.send()
             assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
-            assert not bench.servers._connects
+            assert not bench.servers._connecting
 
     run(scenario)
 
@@ -359,7 +359,7 @@
             await bench.end()
             now = bench.servers.loop.time()
             for passed, kept in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
-                bench.servers.drop_idle(now + passed)
+                bench.servers.close_idle(now + passed)
                 bench.send()
                 writer, data = await peer.hear()
                 assert (data != b"") is kept
@@ -484,7 +484,7 @@
             second.write(OK.replace(b"value", b"other"))
             assert (await bench.heard.ended.get())[2] == b"other"
 
-    monkeypatch.setattr("lynxreel.backends.pools.SETTLE", 60.0)
+    monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 60.0)
     run(scenario)
 
 
@@ -566,23 +566,23 @@
 def test_how_long_connections_may_idle_is_learnt_from_resets() -> None:
     # Guards unsafe requests: what stands between may forget a connection long before the server closes it,
     # and says so only to the next request.
-    ages = Ages()
+    ages = IdleTimes()
     for _ in range(20):
-        ages.note(0.01, False)
-        ages.note(0.3, True)
-    assert ages.trusted(0.01, safe=False)
-    assert not ages.trusted(0.3, safe=False)
-    tries = [ages.trusted(0.3, safe=True) for _ in range(80)]
+        ages.record(0.01, False)
+        ages.record(0.3, True)
+    assert ages.trusted(0.01, repeatable=False)
+    assert not ages.trusted(0.3, repeatable=False)
+    tries = [ages.trusted(0.3, repeatable=True) for _ in range(80)]
     assert tries.count(True) == 10  # so that it shows when they can be trusted again
     for _ in range(40):
-        ages.note(0.3, False)
-    assert ages.trusted(0.3, safe=False)
+        ages.record(0.3, False)
+    assert ages.trusted(0.3, repeatable=False)
 
 
 def test_one_reset_condemns_no_age() -> None:
-    ages = Ages()
-    ages.note(0.3, True)
-    assert ages.trusted(0.3, safe=False)
+    ages = IdleTimes()
+    ages.record(0.3, True)
+    assert ages.trusted(0.3, repeatable=False)
 
 
 def test_an_unsafe_request_takes_a_new_connection_where_kept_ones_were_reset() -> None:
