--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -1,4 +1,4 @@
-"""The decision module is made to raise, before and after each of its actions: every request ends once."""
+"""The decision module raises before or after each of its actions: every request must get one answer."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 from tests.helpers import CUSTOMER, ONCE, REPEATABLE, SECOND, SETTINGS, START, line
 from tests.net import run
 
-MOST_STEPS = 12  # more than any scenario here takes
+MAX_STEPS = 12  # more than any scenario has
 LENDING = replace(
     SETTINGS,
     limits=Limits(max_attempts=2, may_cancel=True, peers=True),
@@ -27,12 +27,12 @@
 )
 
 
-class Fault(Exception):
-    """What the module is made to raise."""
+class InjectedError(Exception):
+    """The exception that the module raises."""
 
 
-class Breaking(Gateway):
-    """Raises once, at the step number `at` in which it acts, before or `after` the action is decided on."""
+class RaisingGateway(Gateway):
+    """Raises once, at the action number `at` of its decisions, before or `after` it has been decided on."""
 
     at, after = 0, False
     steps = 0
@@ -40,36 +40,36 @@
     @contextlib.contextmanager
     def _step(self) -> Iterator[None]:
         self.steps += 1
-        breaks = self.steps == Breaking.at
-        if breaks and not Breaking.after:
-            raise Fault
+        raises = self.steps == RaisingGateway.at
+        if raises and not RaisingGateway.after:
+            raise InjectedError
         yield
-        if breaks:
-            raise Fault
+        if raises:
+            raise InjectedError
 
-    def _count(self, *given: Any) -> None:
+    def _count(self, *arguments: Any) -> None:
         with self._step():
-            super()._count(*given)
+            super()._count(*arguments)
 
-    def _set_timer(self, *given: Any) -> None:
+    def _set_timer(self, *arguments: Any) -> None:
         with self._step():
-            super()._set_timer(*given)
+            super()._set_timer(*arguments)
 
-    def _ask(self, *given: Any) -> None:
+    def _ask(self, *arguments: Any) -> None:
         with self._step():
-            super()._ask(*given)
+            super()._ask(*arguments)
 
-    def _send(self, *given: Any) -> None:
+    def _send(self, *arguments: Any) -> None:
         with self._step():
-            super()._send(*given)
+            super()._send(*arguments)
 
-    def _end(self, *given: Any) -> None:
+    def _end(self, *arguments: Any) -> None:
         with self._step():
-            super()._end(*given)
+            super()._end(*arguments)
 
 
-class Asked:
-    """A client's request that notes its answers."""
+class RecordingCall:
+    """A client's request that records its answers."""
 
     streams = retry = counted = sent = back = seeks = False
     mark = b""
@@ -91,7 +91,7 @@
 
 
 class Rig:
-    """An engine with servers and a counter that a test holds in its hands."""
+    """An engine with servers and a counter that the test controls."""
 
     def __init__(self, spread: int = 1) -> None:
         self.engine = Engine(LENDING, 1, asyncio.get_running_loop())
@@ -99,12 +99,12 @@
         self.tally = self.engine.tally = Tally()
         self.sent: list[Attempt] = []
         self.counts: list[int] = []
-        self.calls: list[Asked] = []
+        self.calls: list[RecordingCall] = []
         self.written: set[Attempt] = set()
         self.spread = spread
         self.engine.news(Members(ListKind.FULL, 1, (line(1), line(2))))
 
-    # What the engine asks for.
+    # Called by the engine.
 
     def send(self, attempt: Attempt, timeout: int) -> None:
         self.sent.append(attempt)
@@ -122,14 +122,14 @@
     def tell(self, to: int | None, data: bytes) -> None:
         pass
 
-    # What happens.
+    # Called by the scenarios.
 
     async def settle(self) -> None:
         for _ in range(4):
             await asyncio.sleep(0)
 
-    async def ask(self, cls: int = REPEATABLE, plan: int = 0, customer: int = CUSTOMER) -> Asked:
-        call = Asked(cls, plan, self.spread, customer)
+    async def submit(self, cls: int = REPEATABLE, plan: int = 0, customer: int = CUSTOMER) -> RecordingCall:
+        call = RecordingCall(cls, plan, self.spread, customer)
         self.calls.append(call)
         assert self.engine.submit(call)  # type: ignore[arg-type]
         await self.settle()
@@ -141,16 +141,16 @@
             self.engine.post(Counted(name, Result.OK, 0, total))
         await self.settle()
 
-    async def serves(self) -> bool:
-        """Another customer's request is served."""
-        call = await self.ask(customer=CUSTOMER + 1)
+    async def serves_another(self) -> bool:
+        """Whether another customer's request is served."""
+        call = await self.submit(customer=CUSTOMER + 1)
         while self.counts:
             await self.count()
         await self.end(Result.OK)
         return call.answers == ["served"]
 
     async def end(self, result: Result) -> None:
-        """The newest attempt was written and ends."""
+        """End the newest attempt, as one that was written."""
         for attempt in self.sent[-1:]:
             self.written.add(attempt)
             self.engine.finished(attempt, result, b"value")
@@ -158,38 +158,38 @@
 
 
 async def served(rig: Rig) -> None:
-    await rig.ask()
+    await rig.submit()
     await rig.count()
     await rig.end(Result.OK)
 
 
 async def over_the_quota(rig: Rig) -> None:
-    await rig.ask()
+    await rig.submit()
     await rig.count(50.0)
 
 
 async def tried_again(rig: Rig) -> None:
-    await rig.ask()
+    await rig.submit()
     await rig.count()
     await rig.end(Result.CONNECT_FAILED)
     await rig.end(Result.OK)
 
 
 async def once_and_reset(rig: Rig) -> None:
-    await rig.ask(ONCE)
+    await rig.submit(ONCE)
     await rig.count()
     await rig.end(Result.RESET)
 
 
 async def ceiling_used_up(rig: Rig) -> None:
-    await rig.ask(ONCE, 1)
+    await rig.submit(ONCE, 1)
     await rig.count()
     while rig.engine.owed():
-        await asyncio.sleep(0.01)  # until nobody has lent a part of the ceiling in time
+        await asyncio.sleep(0.01)  # until no other gateway has lent a part of the ceiling in time
 
 
 async def given_up_by_its_client(rig: Rig) -> None:
-    await rig.ask()
+    await rig.submit()
     rig.engine.gone(1)
     rig.calls.clear()
     await rig.settle()
@@ -203,14 +203,14 @@
 
 
 @pytest.fixture
-def breaking(monkeypatch: pytest.MonkeyPatch) -> Iterator[type[Breaking]]:
-    monkeypatch.setattr(engine_module, "Gateway", Breaking)
-    yield Breaking
-    Breaking.at = 0
+def raising(monkeypatch: pytest.MonkeyPatch) -> Iterator[type[RaisingGateway]]:
+    monkeypatch.setattr(engine_module, "Gateway", RaisingGateway)
+    yield RaisingGateway
+    RaisingGateway.at = 0
 
 
 async def finish(rig: Rig) -> None:
-    """What is still out ends well, and every add has its total."""
+    """End all active attempts with OK, and answer every counter call."""
     while rig.engine.owed() or rig.counts or any(not attempt.ended for attempt in rig.sent):
         for attempt in rig.sent:
             if not attempt.ended:
@@ -222,22 +222,22 @@
 @pytest.mark.causes_internal_errors
 @pytest.mark.parametrize("after", [False, True])
 @pytest.mark.parametrize(("scenario", "spread"), SCENARIOS)
-def test_each_request_ends_once_wherever_its_event_breaks(
-    breaking: type[Breaking], scenario: Scenario, spread: int, after: bool
+def test_each_request_is_answered_once_wherever_the_module_raises(
+    raising: type[RaisingGateway], scenario: Scenario, spread: int, after: bool
 ) -> None:
-    for at in range(1, MOST_STEPS):
-        breaking.at, breaking.after = at, after
+    for at in range(1, MAX_STEPS):
+        raising.at, raising.after = at, after
 
-        async def play(at: int = at) -> None:
+        async def run_scenario(at: int = at) -> None:
             rig, errors = Rig(spread), internal_errors.count
             await scenario(rig)
             module = rig.engine._module
-            assert isinstance(module, Breaking)
-            broken = module.steps >= at
-            assert internal_errors.count - errors == broken
-            breaking.at = 0
+            assert isinstance(module, RaisingGateway)
+            raised = module.steps >= at
+            assert internal_errors.count - errors == raised
+            raising.at = 0
             await finish(rig)
-            assert await rig.serves()
+            assert await rig.serves_another()
             for call in rig.calls:
                 assert len(call.answers) == 1, (at, call.answers)
                 may_have_run = any(a.call.id == call.id and a in rig.written for a in rig.sent)
@@ -246,25 +246,25 @@
             await rig.settle()
             assert (
                 not rig.engine._requests and not rig.engine._ids_in_use and not module._jobs
-            )  # nothing is kept
+            )  # nothing leaks
             assert not any(server.out for server in module._servers.values())
             rig.tally.read({}, {})
             totals = dict(rig.tally.totals)
             assert totals.pop("taken") == sum(totals.values())
             assert set(totals) <= {"served", "refused", "failed", "left"}
 
-        run(play)
+        run(run_scenario)
 
 
 @pytest.mark.causes_internal_errors
 @pytest.mark.parametrize("part", ["send", "add", "tell", "cancel"])
-def test_each_request_ends_once_where_an_action_can_not_be_carried_out(
+def test_each_request_is_answered_once_if_an_action_raises(
     monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
     def broken(*_: object) -> None:
-        raise Fault(part)
+        raise InjectedError(part)
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         for scenario, spread in SCENARIOS:
             rig = Rig(spread)
             monkeypatch.setattr(rig, part, broken)
@@ -272,31 +272,31 @@
             monkeypatch.undo()
             await finish(rig)
             assert all(len(call.answers) == 1 for call in rig.calls)
-            assert await rig.serves()
+            assert await rig.serves_another()
 
-    run(play)
+    run(run_scenario)
 
 
 @pytest.mark.causes_internal_errors
-def test_a_front_that_can_not_answer_keeps_nothing_from_the_module() -> None:
-    async def play() -> None:
+def test_the_module_learns_the_outcome_if_a_front_raises() -> None:
+    async def run_scenario() -> None:
         rig = Rig()
-        call = await rig.ask()
+        call = await rig.submit()
 
         def broken(*_: object) -> None:
-            raise Fault
+            raise InjectedError
 
         call.served = broken  # type: ignore[method-assign, assignment]
         await rig.count()
         await rig.end(Result.OK)
         assert not rig.engine._requests and not rig.engine._module._jobs
 
-    run(play)
+    run(run_scenario)
 
 
-def test_the_error_names_the_request_and_what_was_decided_by_then() -> None:
+def test_the_error_has_the_request_and_the_actions_decided_before() -> None:
     gateway = Gateway(SETTINGS, 1, START)
-    request = Request(5, 99, 0, CUSTOMER, 1.0, SECOND)  # of a class that there is not
+    request = Request(5, 99, 0, CUSTOMER, 1.0, SECOND)  # of a class that does not exist
     with pytest.raises(EventError) as raised:
         gateway.handle(START, request)
     assert raised.value.request == 5
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine between real client and server sockets, with a module that does what the test says."""
+"""The engine between real client and server sockets, with a scripted decision module."""
 
 import asyncio
 import re
@@ -19,14 +19,14 @@
 from lynxreel.relay.budget import Budget
 from tests.helpers import SETTINGS
 from tests.net import LOCAL, TERMS, Peer, call, resp, run
-from tests.test_servers import LONG, OK, at
+from tests.test_servers import LONG_TIMEOUT, OK, listed
 
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[api.Event], Iterator[api.Action]]
 
 
 class Module:
-    """Stands in for the decisions; keeps the events in order."""
+    """A scripted decision module; records the events in order."""
 
     script: Script
     events: "list[api.Event]"
@@ -39,8 +39,8 @@
         return list(Module.script(event))
 
 
-class Counts:
-    """Stands in for the counter."""
+class ConfirmingCounter:
+    """A counter that confirms each call at once."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -49,12 +49,12 @@
         self.engine.post(api.Counted(name, api.Result.OK, 0, amount))
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     script: Script,
-    scenario: Callable[[Engine, Peer, Ends], Awaitable[None]],
+    scenario: Callable[[Engine, Peer, Streams], Awaitable[None]],
 ) -> list[api.Event]:
-    """Play a scenario with one client and one server; return the events."""
+    """Run a scenario with one client and one server; return the events."""
     Module.script, Module.events = staticmethod(script), []
     monkeypatch.setattr(gateway, "Gateway", Module)
 
@@ -64,8 +64,8 @@
         async with Peer() as peer:
             servers = Servers(engine, SETTINGS, 15_000_000, 8, loop, Resp2(), Budget(1 << 20))
             engine.backend = servers
-            servers.update(at(peer.port), True)
-            engine.counter = Counts(engine)
+            servers.update(listed(peer.port), True)
+            engine.counter = ConfirmingCounter(engine)
             clients = Clients(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
@@ -75,23 +75,23 @@
     return Module.events
 
 
-def send_it(event: api.Event) -> Iterator[api.Action]:
+def send_requests(event: api.Event) -> Iterator[api.Action]:
     if isinstance(event, api.Request):
-        yield api.Send(event.id, "s-1", LONG)
+        yield api.Send(event.id, "s-1", LONG_TIMEOUT)
 
 
-def test_a_served_request_goes_there_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+def test_a_request_is_sent_to_the_server_and_its_value_to_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1))
         data = await peer.answer(OK)
-        told = re.search(rb",d=(\d+),", data)
-        assert told is not None
-        assert 0 < int(told[1]) <= 890  # the client's patience, however long the module would wait
-        assert data == call(1).replace(b",d=900,", told[0])
+        sent_deadline = re.search(rb",d=(\d+),", data)
+        assert sent_deadline is not None
+        assert 0 < int(sent_deadline[1]) <= 890  # the client's timeout, even if the module would wait longer
+        assert data == call(1).replace(b",d=900,", sent_deadline[0])
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    request, outcome = play(monkeypatch, send_it, scenario)
+    request, outcome = run_scenario(monkeypatch, send_requests, scenario)
     assert request == api.Request(1, 0, 0, 0xAB, 2.0, 890_000, 2, 1, False)
     assert isinstance(outcome, api.Outcome)
     assert (outcome.result, outcome.final, outcome.load) == (api.Result.OK, True, (2.0, 7.0))
@@ -104,37 +104,37 @@
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request) and event.id == 1:
             raise ZeroDivisionError("boom")
-        yield from send_it(event)
+        yield from send_requests(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1) + call(2))
         assert await reader.readline() == b"-BUSY\r\n"
         await peer.answer(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    events = play(monkeypatch, script, scenario)
+    events = run_scenario(monkeypatch, script, scenario)
     assert api.Expired(1) in events
     assert "boom" in capfd.readouterr().err
 
 
 @pytest.mark.causes_internal_errors
-def test_an_action_without_code_is_told_and_does_not_pass_silently(
+def test_an_unsupported_action_is_logged_and_its_request_is_refused(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
             yield api.Probe("s-1")
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1))
-        assert await ends[0].readline() == b"-BUSY\r\n"
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        streams[1].write(call(1))
+        assert await streams[0].readline() == b"-BUSY\r\n"
 
-    play(monkeypatch, script, scenario)
+    run_scenario(monkeypatch, script, scenario)
     assert "NotImplementedError" in capfd.readouterr().err
 
 
-def test_the_module_emits_no_action_without_code() -> None:
+def test_all_actions_of_the_module_are_supported() -> None:
     code = Path(gateway.__file__).read_text()
     rules = Path(mothgap.rules.__file__).read_text()
     for action in typing.get_args(api.Action):
@@ -142,91 +142,93 @@
             assert f"case api.{action.__name__}()" in code
 
 
-def test_a_request_that_the_module_forgets_is_answered_in_time(
+def test_a_request_that_the_module_does_not_answer_is_answered_in_time(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1, b"c=lookup,t=basic,d=40"))
-        assert await ends[0].readline() == b"-BUSY\r\n"
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        streams[1].write(call(1, b"c=lookup,t=basic,d=40"))
+        assert await streams[0].readline() == b"-BUSY\r\n"
 
-    assert api.Expired(1) in play(monkeypatch, script, scenario)
+    assert api.Expired(1) in run_scenario(monkeypatch, script, scenario)
     assert "did not answer a request in time" in capfd.readouterr().err
 
 
-def test_one_answer_whatever_the_module_says_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_first_answer_of_the_module_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
             yield from (api.Refuse(event.id, 5_000), api.Fail(event.id), api.Refuse(event.id))
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1) + resp(b"PING"))
-        assert await ends[0].readline() == b"-BUSY 5\r\n"
-        assert await ends[0].readline() == b"+PONG\r\n"
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        streams[1].write(call(1) + resp(b"PING"))
+        assert await streams[0].readline() == b"-BUSY 5\r\n"
+        assert await streams[0].readline() == b"+PONG\r\n"
 
-    play(monkeypatch, script, scenario)
+    run_scenario(monkeypatch, script, scenario)
 
 
-def test_a_send_for_a_client_that_has_gone_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_send_for_a_client_that_has_disconnected_is_not_executed(monkeypatch: pytest.MonkeyPatch) -> None:
     done = asyncio.Event()
 
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Outcome):
             done.set()
-        yield from send_it(event)
+        yield from send_requests(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        stub = typing.cast(gateway.Call, Gone())
-        engine.gone(engine.submit(stub))  # before the module's turn
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        stub = typing.cast(gateway.Call, DisconnectedCall())
+        engine.gone(engine.submit(stub))  # before the module handles the request
         await done.wait()
         assert peer.came.empty()
 
-    events = play(monkeypatch, script, scenario)
-    moot = api.Outcome(1, 0, "s-1", api.Result.NOT_SENT, 0, True)
-    assert [type(events[0]), *events[1:]] == [api.Request, api.Expired(1), moot]
+    events = run_scenario(monkeypatch, script, scenario)
+    not_sent = api.Outcome(1, 0, "s-1", api.Result.NOT_SENT, 0, True)
+    assert [type(events[0]), *events[1:]] == [api.Request, api.Expired(1), not_sent]
 
 
 @pytest.mark.parametrize("how", ["left", "served"])
-def test_what_is_still_connecting_goes_out_for_no_request_that_is_over(
+def test_an_attempt_that_is_still_connecting_is_not_sent_for_a_closed_request(
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
-            yield from [api.Send(event.id, "s-1", LONG)] * (1 + (how == "served"))
+            yield from [api.Send(event.id, "s-1", LONG_TIMEOUT)] * (1 + (how == "served"))
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        up = asyncio.Event()
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        may_connect = asyncio.Event()
         connect = Servers._connect
 
-        async def late(servers: Servers, attempt: gateway.Attempt, *rest: typing.Any) -> None:
+        async def delayed_connect(servers: Servers, attempt: gateway.Attempt, *rest: typing.Any) -> None:
             if how == "left" or attempt.number:
-                coming.set()
-                await up.wait()
+                connecting.set()
+                await may_connect.wait()
             await connect(servers, attempt, *rest)
 
-        coming = asyncio.Event()
-        monkeypatch.setattr(Servers, "_connect", late)
-        ends[1].write(call(1))
-        await coming.wait()
+        connecting = asyncio.Event()
+        monkeypatch.setattr(Servers, "_connect", delayed_connect)
+        streams[1].write(call(1))
+        await connecting.wait()
         if how == "left":
-            ends[1].close()
+            streams[1].close()
         else:
             await peer.answer(OK)
         while not any(isinstance(event, api.Outcome) for event in Module.events):
             await asyncio.sleep(0.001)
-        up.set()
-        await asyncio.sleep(0.02)  # a connection would come up, and be written on
+        may_connect.set()
+        await asyncio.sleep(
+            0.02
+        )  # without the withdrawal, the connection would be established and written to
         assert peer.came.empty()
 
-    events = play(monkeypatch, script, scenario)
+    events = run_scenario(monkeypatch, script, scenario)
     results = [(event.attempt, event.result) for event in events if isinstance(event, api.Outcome)]
     assert results[-1] == (how == "served", api.Result.NOT_SENT)
 
 
-class Gone:
-    """A call whose client has left: an answer to it is an error."""
+class DisconnectedCall:
+    """A call whose client has disconnected: an answer to it raises AttributeError."""
 
     id = b"1"
     cls = plan = customer = first = 0
@@ -234,72 +236,74 @@
     counted = sent = back = False
 
 
-def test_attempts_of_which_no_byte_went_out_leave_room_for_as_many(monkeypatch: pytest.MonkeyPatch) -> None:
-    most = SETTINGS.limits.max_attempts
+def test_unsent_attempts_are_replaced_up_to_the_limit_of_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
+    max_attempts = SETTINGS.limits.max_attempts
 
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
-            yield api.Send(event.id, "s-1", LONG)
-        elif isinstance(event, api.Outcome) and event.attempt < 3 * most:
-            yield api.Send(event.request, "s-1", LONG)
+            yield api.Send(event.id, "s-1", LONG_TIMEOUT)
+        elif isinstance(event, api.Outcome) and event.attempt < 3 * max_attempts:
+            yield api.Send(event.request, "s-1", LONG_TIMEOUT)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        engine.backend.update(at(peer.port, api.State.DRAINING), False)  # type: ignore[attr-defined]
-        withheld = Servers.send
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        engine.backend.update(listed(peer.port, api.State.DRAINING), False)  # type: ignore[attr-defined]
+        real_send = Servers.send
 
         def send(servers: Servers, attempt: gateway.Attempt, timeout: int) -> None:
             tried.append(attempt.number)
-            withheld(servers, attempt, timeout)
+            real_send(servers, attempt, timeout)
 
         monkeypatch.setattr(Servers, "send", send)
-        ends[1].write(call(1))
-        await ends[0].readline()  # its time is over
+        streams[1].write(call(1))
+        await streams[0].readline()  # the answer after its timeout
 
     tried: list[int] = []
-    play(monkeypatch, script, scenario)
-    assert tried == list(range(2 * most))
+    run_scenario(monkeypatch, script, scenario)
+    assert tried == list(range(2 * max_attempts))
 
 
-def test_what_another_instance_may_have_gone_on_with_is_told_before_what_ends_it(
+def test_the_module_learns_that_another_instance_may_have_resumed_a_request_before_it_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class Watching:
+    class Observer:
         def counted(self, request: int) -> None: ...
         def ended(self, attempt: gateway.Attempt, result: api.Result) -> None: ...
         def unsure(self) -> list[tuple[int, bool]]:
-            return [(1, True)] if gone.is_set() else []
+            return [(1, True)] if disconnected.is_set() else []
 
-    gone = asyncio.Event()
+    disconnected = asyncio.Event()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        engine.watch = Watching()
-        ends[1].write(call(1))
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        engine.watch = Observer()
+        streams[1].write(call(1))
         await asyncio.sleep(0.02)
-        gone.set()
+        disconnected.set()
         engine.gone(1)
         await asyncio.sleep(0)
 
-    events = play(monkeypatch, lambda event: iter(()), scenario)
-    told = [event for event in events if isinstance(event, api.Unsure | api.Expired)]
-    assert told[:2] == [api.Unsure(1, True), api.Expired(1)]
+    events = run_scenario(monkeypatch, lambda event: iter(()), scenario)
+    relevant = [event for event in events if isinstance(event, api.Unsure | api.Expired)]
+    assert relevant[:2] == [api.Unsure(1, True), api.Expired(1)]
 
 
-def test_news_goes_before_requests_that_were_queued_earlier(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = asyncio.Event()
-    news = api.Members(api.ListKind.CHANGES, 2, ())
+def test_a_server_list_is_handled_before_requests_that_were_queued_earlier(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    handled = asyncio.Event()
+    members = api.Members(api.ListKind.CHANGES, 2, ())
 
     def script(event: api.Event) -> Iterator[api.Action]:
         if isinstance(event, api.Request):
-            told.set()
+            handled.set()
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        engine.submit(typing.cast(gateway.Call, Gone()))
-        engine.news(news)
-        await told.wait()
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        engine.submit(typing.cast(gateway.Call, DisconnectedCall()))
+        engine.news(members)
+        await handled.wait()
 
-    events = play(monkeypatch, script, scenario)
-    assert events[0] == news
+    events = run_scenario(monkeypatch, script, scenario)
+    assert events[0] == members
 
 
 def test_cancel_timer_and_count_come_back_as_events(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -309,7 +313,7 @@
         match event:
             case api.Request(id=request):
                 yield api.Count(9, 2.0, 1_000_000)
-                yield api.Send(request, "s-1", LONG)
+                yield api.Send(request, "s-1", LONG_TIMEOUT)
             case api.Counted():
                 yield api.SetTimer(20_000, 3)
             case api.Timer(token=3):
@@ -318,44 +322,46 @@
                 yield api.Fail(1)
                 done.set()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1))
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        streams[1].write(call(1))
         assert (await peer.hear())[1] != b""
-        assert await ends[0].readline() == b"-ERR failed\r\n"
+        assert await streams[0].readline() == b"-ERR failed\r\n"
         assert (await peer.hear())[1] == b""
         await done.wait()
 
-    events = play(monkeypatch, script, scenario)
+    events = run_scenario(monkeypatch, script, scenario)
     assert [type(event) for event in events] == [api.Request, api.Counted, api.Timer, api.Outcome]
     assert isinstance(events[-1], api.Outcome)
     assert (events[-1].result, events[-1].final) == (api.Result.CANCELLED, False)
 
 
 def test_gateways_share_one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the windows of the counts: their numbers come from the clock, and must be the same everywhere.
+    # Windows of the counter are numbered by the clock, and the numbers must be the same at all gateways.
     unix, since = 1_800_000_000_000_000_000, {"now": 5_000_000_000}
     monkeypatch.setattr("time.time_ns", lambda: unix + since["now"])
     monkeypatch.setattr("time.monotonic_ns", lambda: since["now"])
     first = Clock()
     since["now"] += 7_000_000_000
-    monkeypatch.setattr("time.monotonic_ns", lambda: since["now"] - 6_000_000_000)  # another machine's start
+    monkeypatch.setattr("time.monotonic_ns", lambda: since["now"] - 6_000_000_000)  # a machine started later
     second = Clock()
     assert second.now() == (unix + since["now"]) // 1_000
     monkeypatch.setattr("time.monotonic_ns", lambda: since["now"])
     assert first.now() == (unix + since["now"]) // 1_000
-    monkeypatch.setattr("time.time_ns", lambda: 0)  # a system clock set back
+    monkeypatch.setattr("time.time_ns", lambda: 0)  # the system clock is set back
     assert first.now() == (unix + since["now"]) // 1_000
 
 
-def test_an_id_is_taken_until_the_answer_and_while_an_attempt_is_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards rule 2: to a server, the same id again is a second copy while the first is out.
+def test_an_id_is_in_use_until_the_answer_and_while_an_attempt_is_active(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Prevents a second copy at a server: while an attempt is active, the same id is another copy of it.
     def script(event: api.Event) -> Iterator[api.Action]:
-        yield from send_it(event)
+        yield from send_requests(event)
         if isinstance(event, api.Request) and event.id == 1:
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1))
         assert await reader.readline() == b"-BUSY\r\n"
         server, _ = await peer.hear()
@@ -368,38 +374,38 @@
         await peer.answer(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    play(monkeypatch, script, scenario)
+    run_scenario(monkeypatch, script, scenario)
 
 
-def test_a_patience_beyond_the_deadline_of_the_class_is_cut_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1, b"c=lookup,t=basic,d=999999999"))
+def test_a_client_timeout_is_limited_to_the_deadline_of_the_class(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        streams[1].write(call(1, b"c=lookup,t=basic,d=999999999"))
         await peer.answer(OK)
-        assert await ends[0].readexactly(11) == b"$5\r\nvalue\r\n"
+        assert await streams[0].readexactly(11) == b"$5\r\nvalue\r\n"
 
-    request = play(monkeypatch, send_it, scenario)[0]
+    request = run_scenario(monkeypatch, send_requests, scenario)[0]
     assert isinstance(request, api.Request)
     assert request.time_left == SETTINGS.classes[0].deadline - gateway.WAY
 
 
-def test_a_stop_brings_forward_the_end_of_what_is_out_and_what_servers_are_told(
+def test_a_stop_reduces_the_timeouts_of_active_and_of_later_attempts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The module does nothing by itself here: deadlines and time-outs are the engine's own."""
+    """The module sets no timeouts here: deadlines and timeouts are the engine's own."""
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1))
         await peer.hear()
         engine.stop(10.0, 0.05)
         writer.write(call(2))
-        told = re.search(rb",d=(\d+),", (await peer.hear())[1])
-        assert told is not None
-        assert int(told[1]) <= 50
-        assert await reader.readline() == b"-BUSY\r\n"  # long before the 890 ms that it began with
+        sent_deadline = re.search(rb",d=(\d+),", (await peer.hear())[1])
+        assert sent_deadline is not None
+        assert int(sent_deadline[1]) <= 50
+        assert await reader.readline() == b"-BUSY\r\n"  # long before the 890 ms that it had at first
         assert await reader.readline() == b"-BUSY\r\n"
 
-    events = play(monkeypatch, send_it, scenario)
+    events = run_scenario(monkeypatch, send_requests, scenario)
     (stopping,) = [event for event in events if isinstance(event, api.Stopping)]
     assert stopping.until < stopping.refuse_from
     outcomes = [event for event in events if isinstance(event, api.Outcome)]
@@ -410,34 +416,34 @@
 def test_an_attempt_that_has_just_timed_out_is_answered_by_the_module(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """A loop that was held up runs both timers in one turn: the request's own end must not go first."""
+    """After a stall, the loop runs both timers in one iteration: the expiry must not win over the timeout."""
 
     def script(event: api.Event) -> Iterator[api.Action]:
-        yield from send_it(event)
+        yield from send_requests(event)
         if isinstance(event, api.Outcome):
             yield api.Refuse(event.request)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1, b"c=lookup,t=basic,d=60"))
         await peer.hear()
         time.sleep(0.1)
         assert await reader.readline() == b"-BUSY\r\n"
 
-    play(monkeypatch, script, scenario)
+    run_scenario(monkeypatch, script, scenario)
     assert "did not answer a request in time" not in capfd.readouterr().err
 
 
-def test_a_stop_brings_forward_the_answer_of_a_request_that_is_at_no_server(
+def test_a_stop_brings_forward_the_answer_of_a_request_without_attempts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It may wait for its total, or for a peer: the engine's own deadline moves, too."""
+    """It may wait for its total or for a peer: the engine's own deadline changes, too."""
 
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+        reader, writer = streams
         writer.write(call(1, b"c=lookup,t=basic,d=3000"))
         while not engine.owed():
             await asyncio.sleep(0)
@@ -446,4 +452,4 @@
         await asyncio.wait({early}, timeout=2.0)
         assert early.done()
 
-    play(monkeypatch, script, scenario)
+    run_scenario(monkeypatch, script, scenario)
--- a/tests/test_http_boxes.py
+++ b/tests/test_http_boxes.py
@@ -1,4 +1,4 @@
-"""Boxes that speak HTTP/1.1: how each way to end is told, what they are sent, and what never runs twice."""
+"""Boxes that speak HTTP/1.1: how each outcome is reported, what they are sent, and what never runs twice."""
 
 import asyncio
 import itertools
@@ -37,19 +37,19 @@
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
 
 
-class Bench:
-    """The servers' side and who it tells, as for RESP2."""
+class Rig:
+    """The connection pools, with a fake engine that records the results of attempts."""
 
     def __init__(self, port: int) -> None:
-        self.heard, self.numbers = Heard(), itertools.count(1)
+        self.engine, self.numbers = Heard(), itertools.count(1)
         loop = asyncio.get_running_loop()
-        self.servers = Servers(cast(Engine, self.heard), FAST, 60_000_000, 8, loop, Http(), Budget(1 << 20))
+        self.servers = Servers(cast(Engine, self.engine), FAST, 60_000_000, 8, loop, Http(), Budget(1 << 20))
         self.servers.update([(Member("s-1", State.READY), (LOCAL, port))], True)
 
-    def send(self, asked: Exchange = GET, timeout: int = 10_000_000) -> Attempt:
-        call = SimpleNamespace(cls=0, exchange=lambda wait: asked)
-        held = cast(Any, SimpleNamespace(call=call))
-        attempt = Attempt(next(self.numbers), 0, "s-1", held, self.heard.clock.now())
+    def send(self, exchange: Exchange = GET, timeout: int = 10_000_000) -> Attempt:
+        call = SimpleNamespace(cls=0, exchange=lambda wait: exchange)
+        open_request = cast(Any, SimpleNamespace(call=call))
+        attempt = Attempt(next(self.numbers), 0, "s-1", open_request, self.engine.clock.now())
         self.servers.send(attempt, timeout)
         return attempt
 
@@ -62,24 +62,34 @@
 
 
 LENGTH, CHUNKED = "Content-Length: 5", "Transfer-Encoding: chunked"
-FINE = head("200 OK", LENGTH) + b"value"
+VALID = head("200 OK", LENGTH) + b"value"
 
 
 @pytest.mark.parametrize(
-    ("reply", "result", "value", "kept"),
+    ("reply", "result", "value", "reused"),
     [
-        (FINE, Result.OK, b"value", True),
-        (head("100 Continue") + head("103 Early Hints", "Link: </x>") + FINE, Result.OK, b"value", True),
+        (VALID, Result.OK, b"value", True),
+        (head("100 Continue") + head("103 Early Hints", "Link: </x>") + VALID, Result.OK, b"value", True),
         (head("200 OK", CHUNKED) + b"3\r\nval\r\n2\r\nue\r\n0\r\n\r\n", Result.OK, b"value", True),
         (head("404 Not Found", LENGTH) + b"value", Result.OK, b"value", True),
         (head("204 No Content"), Result.OK, b"", True),
         (head("200 OK", LENGTH, "Connection: close") + b"value", Result.OK, b"value", False),
-        (FINE + b"HTTP/1.1 200 OK\r\n", Result.OK, b"value", False),
-        (head("503 Busy", LENGTH) + b"value", Result.FULL, b"", True),  # the operator's word for it
+        (VALID + b"HTTP/1.1 200 OK\r\n", Result.OK, b"value", False),
+        (
+            head("503 Busy", LENGTH) + b"value",
+            Result.FULL,
+            b"",
+            True,
+        ),  # the operator names this status as a rejection
         (head("502 Bad Gateway", LENGTH) + b"value", Result.ERROR, b"", True),
         (head("429 Too Many", LENGTH) + b"value", Result.ERROR, b"", True),
         (head("408 Timeout", LENGTH) + b"value", Result.ERROR, b"", True),
-        (head("200 OK") + b"value", Result.ERROR, b"", False),  # it would end with the connection
+        (
+            head("200 OK") + b"value",
+            Result.ERROR,
+            b"",
+            False,
+        ),  # without framing: it would end with the connection
         (head("200 OK", LENGTH, CHUNKED) + b"0\r\n\r\n", Result.ERROR, b"", False),
         (head("200 OK", "Content-Length: 5", "Content-Length: 6") + b"value", Result.ERROR, b"", False),
         (head("200 OK", "Content-Length: -5") + b"value", Result.ERROR, b"", False),
@@ -91,58 +101,58 @@
         (head("101 Switching Protocols", "Upgrade: x"), Result.ERROR, b"", False),
     ],
 )
-def test_each_answer_has_its_outcome(reply: bytes, result: Result, value: bytes, kept: bool) -> None:
+def test_each_answer_has_its_outcome(reply: bytes, result: Result, value: bytes, reused: bool) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            attempt = bench.send()
+            rig = Rig(peer.port)
+            attempt = rig.send()
             writer, _ = await peer.hear(b"\r\n\r\n")
             writer.write(reply)
-            assert (await bench.heard.ended.get())[:3] == (attempt.request, result, value)
-            assert bench.idle() == kept
+            assert (await rig.engine.ended.get())[:3] == (attempt.request, result, value)
+            assert rig.idle() == reused
 
     run_short(scenario)
 
 
-@pytest.mark.parametrize("cut", [1, 20, len(FINE) - 1])
-def test_an_answer_that_breaks_off_is_a_reset(cut: int) -> None:
+@pytest.mark.parametrize("cut", [1, 20, len(VALID) - 1])
+def test_a_truncated_answer_is_a_reset(cut: int) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             writer, _ = await peer.hear(b"\r\n\r\n")
-            writer.write(FINE[:cut])
+            writer.write(VALID[:cut])
             writer.close()
-            assert (await bench.heard.ended.get())[1] is Result.RESET
+            assert (await rig.engine.ended.get())[1] is Result.RESET
 
     run_short(scenario)
 
 
 @pytest.mark.parametrize(("size", "result"), [(0, Result.CONNECT_FAILED), (40_000_000, Result.RESET)])
-def test_a_break_before_the_last_byte_left_proves_nothing_of_a_body(size: int, result: Result) -> None:
-    # A box may begin with a head, so half a body may have run; half a head has not.
+def test_a_break_in_the_middle_of_a_body_does_not_prove_that_it_never_ran(size: int, result: Result) -> None:
+    # A box may start to work when it has the head, so half a body may have run; half a head has not.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send(Exchange("POST", "/x" if size else "/" + "x" * 40_000_000, (), b"x" * size))
+            rig = Rig(peer.port)
+            rig.send(Exchange("POST", "/x" if size else "/" + "x" * 40_000_000, (), b"x" * size))
             writer, _ = await peer.came.get()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.transport.abort()
-            assert (await bench.heard.ended.get())[1] is result
+            assert (await rig.engine.ended.get())[1] is result
 
     run_short(scenario)
 
 
-def test_what_a_box_says_of_its_load_and_between_hops_stays_here() -> None:
+def test_load_reports_and_hop_by_hop_fields_are_not_forwarded() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             writer, _ = await peer.hear(b"\r\n\r\n")
             between = ("Lynxreel-Load: inflight=7,queue=2", "Connection: X-Hop", "X-Hop: 1")
             ends = ("Set-Cookie: c", "ETag: a", "Set-Cookie: b")
             writer.write(head("200 OK", LENGTH, *between, *ends) + b"value")
-            _, result, value, load = await bench.heard.ended.get()
+            _, result, value, load = await rig.engine.ended.get()
             assert (result, load) == (Result.OK, (2.0, 7.0)) and isinstance(value, Answer)
             assert value.fields == (("Set-Cookie", "c"), ("Etag", "a"), ("Set-Cookie", "b"))
 
@@ -154,26 +164,26 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(TEXT, min_size=2, max_size=2), st.lists(st.tuples(st.sampled_from("abcd"), TEXT), max_size=4))
-def test_what_is_written_for_a_box_is_read_as_what_was_understood(
+def test_a_box_parses_the_same_path_and_query_as_the_gateway(
     names: list[str], pairs: list[tuple[str, str]]
 ) -> None:
-    """Whatever stands in a path or a query, escaped as little as a client may."""
+    """For any text in paths and queries, escaped as little as a client may."""
     parameters = [{"name": n, "in": "path", "required": True, "schema": {"type": "string"}} for n in "xy"]
     parameters += [{"name": n, "in": "query", "schema": {"type": "array"}} for n in "abc"]
-    held = {
+    document = {
         "openapi": "3.0.3", "info": {"title": "t", "version": "1"},
         "servers": [{"url": "/v1", "x-lynxreel": {"boxes": "http", "path": "/in"}}],
         "x-lynxreel": {"plan": "p", "class": "c"},
         "paths": {"/{x}/k/{y}": {"get": {"parameters": parameters, **OK}}},
     }  # fmt: skip
-    table = compiled("api.json", lambda name: json.dumps(held).encode())
+    table = compiled("api.json", lambda name: json.dumps(document).encode())
     admission = Admission(table, True, Terms({"c": 0}, {}, {"p": 0}, {"c": 1_000}, 4.0), {}, None)
     target = "/v1/{}/k/{}".format(*(quote(name, safe="!$'()*+,:@&=") for name in names))
     target += "?" + "&".join(f"{name}={quote(value, safe='')}" for name, value in pairs) if pairs else ""
     try:
         head = admission.head("GET", target, {})
-    except Rejected as wrong:
-        assert wrong.status in (400, 404)
+    except Rejected as error:
+        assert error.status in (400, 404)
         return
     path, _, query = head.target.partition("?")
     assert split(path) == ["in", names[0], "k", names[1]]
@@ -182,24 +192,24 @@
     assert re.fullmatch(r"[!-~]+", head.target)
 
 
-# --- whole gateways ---------------------------------------------------------------------------------------
+# --- complete gateways ------------------------------------------------------------------------------------
 
 
 def by_http(**more: Any) -> dict[str, Any]:
-    """The description of the tests, with boxes that speak HTTP; `more` for its server."""
+    """The description used by the tests, with boxes that speak HTTP; `more` extends its server object."""
     server = {"url": "https://api.example/v1", "x-lynxreel": {"boxes": "http", **more}}
-    told = {**description(), "servers": [server]}
-    told["paths"]["/numbers/{number}"]["get"]["parameters"].append(
+    document = {**description(), "servers": [server]}
+    document["paths"]["/numbers/{number}"]["get"]["parameters"].append(
         {"name": "X-Case", "in": "header", "required": False, "schema": {"type": "string"}}
     )
-    return told
+    return document
 
 
 def seen(deployment: Any) -> list[Seen]:
     return [request for box in deployment.boxes for request in box.seen]
 
 
-def test_a_box_is_sent_the_request_written_anew_and_its_answer_comes_back(tmp_path: Path) -> None:
+def test_a_box_is_sent_a_regenerated_request_and_its_answer_is_forwarded(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path, told=by_http(path="/inner"), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -233,14 +243,14 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.SILENT, Kind.RESET, Kind.SPOILT, Kind.HALF, Kind.REFUSE, Kind.EARLY])
-def test_a_post_that_ends_badly_at_a_box_by_http_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
+def test_a_post_that_fails_at_a_box_by_http_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
     async def scenario() -> None:
         async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             deployment.box_faults.on(Fault(kind))
             body = b'{"from": "' + b"x" * 60_000 + b'"}'
             answer = await client.ask("POST", "/v1/ports", body, Prefer="wait=1")
-            # A box that answers before it has read the body resets the connection: its word may be lost.
+            # A box that answers before it has read the body resets the connection: its answer may be lost.
             assert answer.status in ((413, 503) if kind is Kind.EARLY else (503, 504))
             assert came(deployment) == (0 if kind is Kind.EARLY else 1)
             heads = sum(box.listener.taken for box in deployment.boxes)
@@ -249,7 +259,7 @@
     run(scenario)
 
 
-def test_what_the_operator_says_was_turned_away_goes_to_another_box(tmp_path: Path) -> None:
+def test_a_request_rejected_with_a_status_named_by_the_operator_goes_to_another_box(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path, told=by_http(turned_away=[503]), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -264,7 +274,7 @@
     run(scenario)
 
 
-def test_a_drained_box_by_http_gets_nothing_new(tmp_path: Path) -> None:
+def test_a_drained_box_by_http_gets_no_new_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -284,11 +294,11 @@
 
 async def boxes(deployment: Any) -> list[dict[str, Any]]:
     found = await asyncio.to_thread(ask, str(deployment.gateways[0].place.queries), "boxes")
-    held: list[dict[str, Any]] = found["boxes"]
-    return held
+    listed: list[dict[str, Any]] = found["boxes"]
+    return listed
 
 
-def test_both_kinds_of_client_drain_one_quota_at_boxes_by_http(tmp_path: Path) -> None:
+def test_both_kinds_of_clients_share_one_quota_at_boxes_by_http(tmp_path: Path) -> None:
     async def scenario() -> None:
         number = young()
         keys = {"mixed": f"{number:016x}"}
@@ -313,7 +323,7 @@
     run(scenario)
 
 
-def test_a_reload_does_not_change_what_boxes_speak(tmp_path: Path) -> None:
+def test_a_reload_does_not_change_the_protocol_of_boxes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
             (tmp_path / "api.json").write_text(json.dumps(description()))
@@ -330,22 +340,25 @@
     ("change", "message"),
     [
         (
-            lambda told: told["paths"]["/keyed"].update(servers=[{"url": "/v2"}]),
+            lambda document: document["paths"]["/keyed"].update(servers=[{"url": "/v2"}]),
             "boxes speak resp2 here and http elsewhere",
         ),
-        (lambda told: told["servers"][0]["x-lynxreel"].update(boxes="grpc"), "'resp2' or 'http'"),
-        (lambda told: told["servers"][0]["x-lynxreel"].update(path="/a/../b"), "servers/0/x-lynxreel/path"),
+        (lambda document: document["servers"][0]["x-lynxreel"].update(boxes="grpc"), "'resp2' or 'http'"),
+        (
+            lambda document: document["servers"][0]["x-lynxreel"].update(path="/a/../b"),
+            "servers/0/x-lynxreel/path",
+        ),
         (
-            lambda told: told["paths"]["/whose"]["get"].update(
+            lambda document: document["paths"]["/whose"]["get"].update(
                 parameters=[{"name": "Transfer-Encoding", "in": "header", "schema": {"type": "string"}}]
             ),
             "the header 'transfer-encoding' frames a message",
         ),
     ],
 )
-def test_what_a_description_says_of_boxes_is_checked(change: Any, message: str) -> None:
-    told = by_http()
-    change(told)
-    with pytest.raises(DescriptionError) as wrong:
-        compiled("api.json", lambda name: json.dumps(told).encode())
-    assert message in str(wrong.value)
+def test_the_servers_of_a_description_are_validated(change: Any, message: str) -> None:
+    document = by_http()
+    change(document)
+    with pytest.raises(DescriptionError) as error:
+        compiled("api.json", lambda name: json.dumps(document).encode())
+    assert message in str(error.value)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Values that are passed on as they come: the budget by hand, and streams between real sockets."""
+"""Values that are forwarded while they arrive: the budget alone, and streams between real sockets."""
 
 import asyncio
 import random
@@ -21,33 +21,35 @@
 from tests.helpers import SETTINGS
 from tests.net import LOCAL, TERMS, Heard, Peer, call, drain_times, run
 
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 LARGE = MOST_STREAM
 TAIL = b"\r\n$-1\r\n$8\r\nutil=0.5\r\n"
 
 
 @given(st.lists(st.tuples(st.integers(0, 7), st.floats(0, 1), st.booleans()), max_size=200))
-def test_no_more_than_the_budget_is_held_and_no_stream_starves(steps: list[tuple[int, float, bool]]) -> None:
-    budget, held = Budget(64 * 1024), dict[int, int]()
-    for stream, part, over in steps:
-        if stream not in held:
+def test_no_more_than_the_budget_is_buffered_and_no_stream_starves(
+    steps: list[tuple[int, float, bool]],
+) -> None:
+    budget, buffered = Budget(64 * 1024), dict[int, int]()
+    for stream, part, closes in steps:
+        if stream not in buffered:
             budget.open(stream)
-            held[stream] = 0
-        elif over:
+            buffered[stream] = 0
+        elif closes:
             budget.close(stream)
-            del held[stream]
+            del buffered[stream]
         else:
-            held[stream] += int(budget.allowance(stream) * part)
-            budget.set_buffered(stream, held[stream])
+            buffered[stream] += int(budget.allowance(stream) * part)
+            budget.set_buffered(stream, buffered[stream])
             if part < 0.3:
-                held[stream] = int(held[stream] * part)
-                budget.set_buffered(stream, held[stream])
-        assert budget.buffered == sum(held.values()) <= budget.limit + MIN_READ * len(held)
-        for number, bytes_held in held.items():
-            assert bytes_held or budget.allowance(number) >= MIN_READ
+                buffered[stream] = int(buffered[stream] * part)
+                budget.set_buffered(stream, buffered[stream])
+        assert budget.buffered == sum(buffered.values()) <= budget.limit + MIN_READ * len(buffered)
+        for number, size in buffered.items():
+            assert size or budget.allowance(number) >= MIN_READ
 
 
-def test_what_is_left_of_a_share_is_not_read_in_crumbs() -> None:
+def test_the_rest_of_a_share_is_not_read_in_tiny_pieces() -> None:
     budget = Budget(1 << 20)
     budget.open("a")
     budget.set_buffered("a", budget.read_size - MIN_READ + 1)
@@ -56,7 +58,7 @@
     assert budget.allowance("a") == MIN_READ
 
 
-def test_a_lone_stream_that_holds_its_share_reads_nothing_until_some_has_left() -> None:
+def test_a_single_stream_with_its_share_buffered_reads_nothing_until_some_is_written() -> None:
     budget = Budget(1 << 20)
     budget.open("a")
     budget.set_buffered("a", budget.allowance("a"))
@@ -65,23 +67,23 @@
     assert budget.allowance("a") > 0
 
 
-class Bridge(Heard):
-    """In the engine's place: each call is one attempt, and what that brings is the answer."""
+class DirectEngine(Heard):
+    """In place of the engine: each call is one attempt, and the result of that is the answer."""
 
     servers: Servers
-    over: Callable[[Attempt], bool] = staticmethod(lambda attempt: False)
+    is_closed: Callable[[Attempt], bool] = staticmethod(lambda attempt: False)
 
     def submit(self, got: Any) -> int:
         number = super().submit(got)
-        held = SimpleNamespace(call=got)
-        self.servers.send(Attempt(number, 0, "s-1", cast(Any, held), 0), 5_000_000)
+        open_request = SimpleNamespace(call=got)
+        self.servers.send(Attempt(number, 0, "s-1", cast(Any, open_request), 0), 5_000_000)
         return number
 
     def finished(
         self, attempt: Attempt, result: Result, value: bytes | Stream = b"", load: tuple[float, ...] = ()
     ) -> None:
         self.ended.put_nowait((attempt.request, result, b"", load))
-        if isinstance(value, Stream) and self.over(attempt):
+        if isinstance(value, Stream) and self.is_closed(attempt):
             value.gone()
         elif result is Result.OK:
             attempt.call.served(value)
@@ -89,32 +91,32 @@
             attempt.call.failed()
 
 
-class Way:
-    """A client's listener, a server that the test plays, and what lies between."""
+class Rig:
+    """A listener for clients, connection pools, and a server that the test controls."""
 
     def __init__(self, peer: Peer, budget: int) -> None:
         loop = asyncio.get_running_loop()
-        self.peer, self.budget, self.bridge = peer, Budget(budget), Bridge()
-        engine = cast(Engine, self.bridge)
-        self.servers = self.bridge.servers = Servers(
+        self.peer, self.budget, self.engine = peer, Budget(budget), DirectEngine()
+        engine = cast(Engine, self.engine)
+        self.servers = self.engine.servers = Servers(
             engine, SETTINGS, 60_000_000, 64, loop, Resp2(), self.budget
         )
         self.servers.update([(Member("s-1", State.READY), (LOCAL, peer.port))], True)
         self.clients = Clients(engine, TERMS, 64, loop)
 
-    async def client(self) -> Ends:
+    async def client(self) -> Streams:
         return await asyncio.open_connection(LOCAL, self.clients.port, limit=1 << 23)
 
 
-def play(scenario: Callable[[Way], Awaitable[None]], budget: int = 1 << 20) -> None:
+def run_scenario(scenario: Callable[[Rig], Awaitable[None]], budget: int = 1 << 20) -> None:
     async def start() -> None:
         async with Peer() as peer:
-            way = Way(peer, budget)
-            await way.clients.listen(LOCAL, 0)
-            await scenario(way)
-            for connection in list(way.clients.connections):
+            rig = Rig(peer, budget)
+            await rig.clients.listen(LOCAL, 0)
+            await scenario(rig)
+            for connection in list(rig.clients.connections):
                 connection.transport.abort()
-            way.servers.close()
+            rig.servers.close()
 
     run(start)
 
@@ -127,44 +129,44 @@
     return b"*3\r\n$%d\r\n" % size
 
 
-async def settled(true: Callable[[], bool]) -> None:
-    while not true():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.005)
 
 
 @pytest.mark.parametrize("size", [64 * 1024, 64 * 1024 + 1, LARGE])
-def test_a_value_in_pieces_cut_anywhere_comes_whole_and_its_connection_is_used_again(
+def test_a_value_split_anywhere_arrives_complete_and_its_connection_is_reused(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 0.0)
 
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
-        chance, sent = random.Random(size), value(size)
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
+        rng, sent = random.Random(size), value(size)
         for number in range(2):
             writer.write(call(number))
-            server, _ = await way.peer.hear()
+            server, _ = await rig.peer.hear()
             answer = head(size) + sent + TAIL
             while answer:
-                cut = chance.choice([1, 2, 3, 1_000, 100_000, 300_000])
+                cut = rng.choice([1, 2, 3, 1_000, 100_000, 300_000])
                 server.write(answer[:cut])
                 await server.drain()
                 answer = answer[cut:]
-            wanted = b"$%d\r\n%b\r\n" % (size, sent)
-            assert await reader.readexactly(len(wanted)) == wanted
-            assert (await way.bridge.ended.get())[1] is Result.OK
-        assert len(way.peer.writers) == 1
-        assert (len(way.budget), way.budget.buffered) == (0, 0)
-        assert not way.clients.streams
+            expected = b"$%d\r\n%b\r\n" % (size, sent)
+            assert await reader.readexactly(len(expected)) == expected
+            assert (await rig.engine.ended.get())[1] is Result.OK
+        assert len(rig.peer.writers) == 1
+        assert (len(rig.budget), rig.budget.buffered) == (0, 0)
+        assert not rig.clients.streams
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_first_bytes_leave_before_the_rest_has_come_and_the_end_waits_for_the_whole_answer() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+def test_first_bytes_are_sent_before_the_rest_arrives_and_the_last_after_the_whole_answer() -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:10])
         assert await reader.readexactly(19) == b"$100000\r\n" + sent[:10]
@@ -175,30 +177,30 @@
         server.write(TAIL[-1:])
         assert await reader.readexactly(2) == b"\r\n"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_clients_that_do_not_read_hold_the_servers_up_and_not_memory() -> None:
-    async def scenario(way: Way) -> None:
-        slow = [await way.client() for _ in range(12)]
+def test_clients_that_do_not_read_pause_the_servers_and_use_no_more_memory() -> None:
+    async def scenario(rig: Rig) -> None:
+        slow = [await rig.client() for _ in range(12)]
         for _, writer in slow:
             writer.transport.pause_reading()  # type: ignore[attr-defined]
         sent = value(LARGE)
         for number, (_, writer) in enumerate(slow):
             writer.write(call(number))
-            server, _ = await way.peer.hear()
+            server, _ = await rig.peer.hear()
             server.write(head(LARGE) + sent + TAIL)
-        await settled(lambda: len(way.budget) == 12)
+        await wait_until(lambda: len(rig.budget) == 12)
         await asyncio.sleep(0.3)
-        kept = sum(c.transport.get_write_buffer_size() for c in way.clients.connections)
-        assert 0 < kept <= way.budget.limit + 12 * MIN_READ
-        assert way.budget.buffered <= way.budget.limit + 12 * MIN_READ
+        buffered = sum(c.transport.get_write_buffer_size() for c in rig.clients.connections)
+        assert 0 < buffered <= rig.budget.limit + 12 * MIN_READ
+        assert rig.budget.buffered <= rig.budget.limit + 12 * MIN_READ
         for reader, writer in slow:
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert await reader.readexactly(LARGE + 12) == b"$%d\r\n%b\r\n" % (LARGE, sent)
-        assert way.budget.buffered == 0
+        assert rig.budget.buffered == 0
 
-    play(scenario, budget=128 * 1024)
+    run_scenario(scenario, budget=128 * 1024)
 
 
 @pytest.mark.parametrize(
@@ -210,17 +212,17 @@
     ],
     ids=["breaks off", "does not fit its length", "goes on with noise"],
 )
-def test_what_is_not_whole_or_spoilt_at_its_end_can_be_told_by_the_client(size: int, rest: bytes) -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+def test_a_client_can_detect_a_value_that_is_incomplete_or_invalid_at_its_end(size: int, rest: bytes) -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         writer.write(call(2))
-        await way.peer.hear()
+        await rig.peer.hear()
         server.write(head(size) + rest)
         if len(rest) < size:
             await server.drain()
-            await settled(lambda: bool(way.clients.streams))
+            await wait_until(lambda: bool(rig.clients.streams))
             server.close()
         got = b""
         try:
@@ -229,119 +231,119 @@
         except ConnectionError:
             pass
         assert got.startswith(b"$100000\r\nx") or not got
-        assert len(got) <= size + 9  # never the two bytes that would make it whole, nor another answer
-        await settled(lambda: len(way.budget) == 0)
+        assert len(got) <= size + 9  # never the two bytes that would complete it, nor another answer
+        await wait_until(lambda: len(rig.budget) == 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("size", [MOST_STREAM + 1, 3_000_000_000])
-def test_more_than_any_value_is_no_answer(size: int) -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+def test_a_value_over_the_size_limit_is_no_answer(size: int) -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         server.write(head(size) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
-        assert (await way.bridge.ended.get())[1] is Result.ERROR
+        assert (await rig.engine.ended.get())[1] is Result.ERROR
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_client_that_leaves_in_the_middle_ends_the_servers_part() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+def test_a_client_that_disconnects_in_the_middle_closes_the_connection_to_the_server() -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         server.write(head(LARGE) + b"x" * 200_000)
         await reader.readexactly(1_000)
         writer.transport.abort()
-        assert await way.peer.hear() == (server, b"")
-        await settled(lambda: len(way.budget) == 0)
-        assert way.servers.open == 0
+        assert await rig.peer.hear() == (server, b"")
+        await wait_until(lambda: len(rig.budget) == 0)
+        assert rig.servers.open == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_nobody_waits_for_it_any_more_when_it_begins() -> None:
-    async def scenario(way: Way) -> None:
-        way.bridge.over = lambda attempt: True
-        _, writer = await way.client()
+def test_a_value_whose_request_is_closed_when_it_starts_is_abandoned() -> None:
+    async def scenario(rig: Rig) -> None:
+        rig.engine.is_closed = lambda attempt: True
+        _, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         server.write(head(LARGE) + b"x" * 200_000)
-        assert await way.peer.hear() == (server, b"")
-        assert (len(way.budget), way.servers.open) == (0, 0)
+        assert await rig.peer.hear() == (server, b"")
+        assert (len(rig.budget), rig.servers.open) == (0, 0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_large_value_waits_for_its_turn_within_the_budget_and_answers_keep_their_order() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+def test_a_large_value_waits_for_earlier_answers_within_the_budget_and_answers_keep_their_order() -> None:
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        first, _ = await way.peer.hear()
+        first, _ = await rig.peer.hear()
         writer.write(call(2))
-        second, _ = await way.peer.hear()
+        second, _ = await rig.peer.hear()
         writer.write(call(3))
-        third, _ = await way.peer.hear()
+        third, _ = await rig.peer.hear()
         sent = value(1_000_000)
         second.write(head(len(sent)) + sent + TAIL)
         third.write(b"*3\r\n$1\r\nz" + TAIL)
-        await settled(lambda: way.budget.buffered > 0)
+        await wait_until(lambda: rig.budget.buffered > 0)
         await asyncio.sleep(0.05)
-        assert way.budget.buffered <= way.budget.limit
+        assert rig.budget.buffered <= rig.budget.limit
         first.write(b"*3\r\n$1\r\ny" + TAIL)
-        wanted = b"$1\r\ny\r\n$1000000\r\n" + sent + b"\r\n$1\r\nz\r\n"
-        assert await reader.readexactly(len(wanted)) == wanted
+        expected = b"$1\r\ny\r\n$1000000\r\n" + sent + b"\r\n$1\r\nz\r\n"
+        assert await reader.readexactly(len(expected)) == expected
 
-    play(scenario, budget=128 * 1024)
+    run_scenario(scenario, budget=128 * 1024)
 
 
-def test_a_value_that_stands_still_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_value_that_stalls_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lynxreel.fronts.resp2.STALL", 0.1)
     monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP", 0.02)
 
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
-        for _ in range(10):  # slow, and goes on
-            server.write(head(100_000) + b"x" if not way.clients.streams else b"x")
+        server, _ = await rig.peer.hear()
+        for _ in range(10):  # slow, but not stalled
+            server.write(head(100_000) + b"x" if not rig.clients.streams else b"x")
             await asyncio.sleep(0.04)
-        assert len(way.clients.streams) == 1
+        assert len(rig.clients.streams) == 1
         with pytest.raises(asyncio.IncompleteReadError):
             await reader.readexactly(100_000)
-        assert await way.peer.hear(b"none") == (server, b"")
+        assert await rig.peer.hear(b"none") == (server, b"")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_drain_waits_for_the_end_of_a_large_value() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:70_000])
-        await settled(lambda: bool(way.clients.streams))
-        draining = asyncio.create_task(way.clients.drain(drain_times(5.0)))
+        await wait_until(lambda: bool(rig.clients.streams))
+        draining = asyncio.create_task(rig.clients.drain(drain_times(5.0)))
         await asyncio.sleep(0.05)
         server.write(sent[70_000:] + TAIL)
         assert await reader.read(-1) == b"$100000\r\n" + sent + b"\r\n"
         await draining
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_call_that_takes_no_stream_fails_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_that_takes_no_stream_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lynxreel.fronts.resp2.Call.streams", False)
 
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.client()
+    async def scenario(rig: Rig) -> None:
+        reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await rig.peer.hear()
         server.write(head(100_000) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The reader of RESP: what is read, and that each length is judged before room is made for it."""
+"""The RESP reader: what it returns, and that it checks each length before it allocates memory for it."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 def read(data: bytes, answers: bool, step: int) -> list[object]:
     reader = Reader(3, answers)
     messages: list[object] = []
-    for at in range(0, len(data), step):
-        reader.feed(data[at : at + step])
+    for start in range(0, len(data), step):
+        reader.feed(data[start : start + step])
         while (message := reader.next()) is not None:
             messages.append(message)
     assert reader.empty()
@@ -17,29 +17,29 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 10_000])
-def test_messages_are_read_however_they_are_cut(step: int) -> None:
-    words = [b"a\r\nb", b"", b"x" * 300]
-    assert read(pack(words) + pack([b"PING"]), False, step) == [words, [b"PING"]]
+def test_messages_are_read_however_they_are_split(step: int) -> None:
+    strings = [b"a\r\nb", b"", b"x" * 300]
+    assert read(pack(strings) + pack([b"PING"]), False, step) == [strings, [b"PING"]]
     answer = b"*3\r\n$1\r\nv\r\n$-1\r\n*-1\r\n-BUSY\r\n*3\r\n$0\r\n\r\n:12\r\n+odd\r\n"
     assert read(answer, True, step) == [[b"v", None, None], b"BUSY", [b"", None, None]]
 
 
-def test_a_string_in_many_pieces_is_not_joined_anew_at_each_and_commands_behind_it_are_read() -> None:
-    reader, sent = Reader(3), bytes(range(256)) * 256
-    data = b"*2\r\n$1\r\na\r\n$65536\r\n" + sent + b"\r\n"
-    found, buffers = list[object](), set[int]()
-    for _ in range(3):  # what is left behind one is the beginning of the next
-        for at in range(0, len(data), 97):
-            reader.feed(data[at : at + 97])
+def test_a_string_in_many_pieces_is_not_copied_for_each_and_commands_behind_it_are_read() -> None:
+    reader, value = Reader(3), bytes(range(256)) * 256
+    data = b"*2\r\n$1\r\na\r\n$65536\r\n" + value + b"\r\n"
+    messages, buffers = list[object](), set[int]()
+    for _ in range(3):  # what remains of one read is the beginning of the next message
+        for start in range(0, len(data), 97):
+            reader.feed(data[start : start + 97])
             buffers.add(id(reader._data))
-            while (words := reader.next()) is not None:
-                found.append(words)
-    assert found == [[b"a", sent]] * 3
-    assert len(buffers) < 20, "the buffer was made anew"
+            while (strings := reader.next()) is not None:
+                messages.append(strings)
+    assert messages == [[b"a", value]] * 3
+    assert len(buffers) < 20, "the buffer was allocated for each piece"
     assert reader.empty()
 
 
-def test_only_the_first_string_of_an_answer_may_be_large_and_it_comes_in_pieces() -> None:
+def test_only_the_first_string_of_an_answer_may_be_large_and_is_read_in_pieces() -> None:
     command = Reader(3)
     command.feed(b"*1\r\n$65537\r\n")
     with pytest.raises(Malformed):
@@ -88,8 +88,8 @@
         b"*1\r\n$1\r\nx\r\n*1000000000\r\n",
     ],
 )
-def test_what_is_no_message_is_judged_at_its_first_line(data: bytes, answers: bool) -> None:
-    # Guards memory: none of these waits for what it announces, or for the end of its line.
+def test_invalid_input_is_rejected_at_its_first_line(data: bytes, answers: bool) -> None:
+    # Limits memory: the reader waits neither for the announced bytes nor for the end of the line.
     reader = Reader(3, answers)
     reader.feed(data)
     with pytest.raises(Malformed):
@@ -97,7 +97,7 @@
             pass
 
 
-def test_an_error_line_without_an_end_is_judged_at_its_bound() -> None:
+def test_an_error_line_without_an_end_is_rejected_at_the_limit() -> None:
     reader = Reader(3, answers=True)
     reader.feed(b"-" + b"x" * (MAX_ERROR_LINE - 2))
     assert reader.next() is None
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Attempts on loopback sockets: how each way to end is told, and what must never be written."""
+"""Attempts on loopback sockets: how each outcome is reported, and what must never be written."""
 
 import asyncio
 import errno
@@ -18,7 +18,7 @@
 from tests.net import LOCAL, Heard, Peer, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
-LONG = 10_000_000  # microseconds
+LONG_TIMEOUT = 10_000_000  # microseconds
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
 
 
@@ -32,34 +32,34 @@
         return resp(b"CALL.GET", b"x" * self.size)
 
 
-def held(size: int, cls: int) -> Any:
-    """A request with a command of any size, as far as an attempt needs one."""
+def open_request(size: int, cls: int) -> Any:
+    """The part of an open request that an attempt needs, with a command of any size."""
     return SimpleNamespace(call=Stub(size, cls))
 
 
 @pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections are used again at once, but where a test is about their rest."""
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections are reused at once, except in tests of the reuse delay."""
     monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 0.0)
 
 
-def at(port: int, state: State = State.READY, started: int = 0) -> list[tuple[Member, tuple[str, int]]]:
+def listed(port: int, state: State = State.READY, started: int = 0) -> list[tuple[Member, tuple[str, int]]]:
     return [(Member("s-1", state, started_at=started), (LOCAL, port))]
 
 
-class Bench:
-    """The servers' side and who it tells."""
+class Rig:
+    """The connection pools, with a fake engine that records the results of attempts."""
 
-    def __init__(self, port: int, most: int = 8) -> None:
-        self.heard, self.next = Heard(), 0
+    def __init__(self, port: int, max_connections: int = 8) -> None:
+        self.engine, self.next = Heard(), 0
         loop = asyncio.get_running_loop()
-        engine, budget = cast(Engine, self.heard), Budget(1 << 20)
-        self.servers = Servers(engine, FAST, 60_000_000, most, loop, Resp2(), budget)
-        self.servers.update(at(port), True)
+        engine, budget = cast(Engine, self.engine), Budget(1 << 20)
+        self.servers = Servers(engine, FAST, 60_000_000, max_connections, loop, Resp2(), budget)
+        self.servers.update(listed(port), True)
 
-    def send(self, timeout: int = LONG, size: int = 10, cls: int = REPEATABLE) -> Attempt:
+    def send(self, timeout: int = LONG_TIMEOUT, size: int = 10, cls: int = REPEATABLE) -> Attempt:
         self.next += 1
-        attempt = Attempt(self.next, 0, "s-1", held(size, cls), self.heard.clock.now())
+        attempt = Attempt(self.next, 0, "s-1", open_request(size, cls), self.engine.clock.now())
         self.servers.send(attempt, timeout)
         return attempt
 
@@ -68,7 +68,7 @@
         return [c.transport for c in connections if c.transport is not None]
 
     async def end(self) -> tuple[int, Result]:
-        return (await self.heard.ended.get())[:2]
+        return (await self.engine.ended.get())[:2]
 
 
 @pytest.mark.parametrize(
@@ -101,10 +101,10 @@
 def test_each_answer_has_its_outcome(reply: bytes, told: tuple[Result, bytes, tuple[float, ...]]) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(reply)
-            assert (await bench.heard.ended.get())[1:] == told
+            assert (await rig.engine.ended.get())[1:] == told
 
     run(scenario)
 
@@ -121,25 +121,25 @@
         b"-BUSY \xff\r\n",
     ],
 )
-def test_a_connection_that_says_too_much_is_closed(reply: bytes) -> None:
+def test_a_connection_with_an_invalid_answer_or_more_behind_it_is_closed(reply: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(reply)
-            await bench.end()
+            await rig.end()
             assert (await peer.hear())[1] == b""
 
     run(scenario)
 
 
-def test_an_idle_connection_that_says_something_is_closed() -> None:
+def test_an_idle_connection_that_receives_data_is_closed() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(OK)
-            await bench.end()
+            await rig.end()
             peer.writers[0].write(b"+hello\r\n")
             assert (await peer.hear())[1] == b""
 
@@ -150,9 +150,9 @@
     async def scenario() -> None:
         with socket.socket() as bound:  # bound, not listening
             bound.bind((LOCAL, 0))
-            bench = Bench(bound.getsockname()[1])
-            bench.send()
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
+            rig = Rig(bound.getsockname()[1])
+            rig.send()
+            assert await rig.end() == (1, Result.CONNECT_FAILED)
 
     run(scenario)
 
@@ -160,10 +160,10 @@
 def test_a_break_after_the_last_byte_is_a_reset() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             (await peer.hear())[0].transport.abort()
-            assert await bench.end() == (1, Result.RESET)
+            assert await rig.end() == (1, Result.RESET)
 
     run(scenario)
 
@@ -172,12 +172,12 @@
     async def scenario() -> None:
         with socket.create_server((LOCAL, 0)) as listener:
             listener.setblocking(False)
-            bench = Bench(listener.getsockname()[1])
-            bench.send(size=32 << 20)  # more than the sockets' buffers hold
+            rig = Rig(listener.getsockname()[1])
+            rig.send(size=32 << 20)  # more than the sockets' buffers hold
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
             await asyncio.get_running_loop().sock_recv(connection, 10)
             connection.close()
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
+            assert await rig.end() == (1, Result.CONNECT_FAILED)
 
     run(scenario)
 
@@ -185,13 +185,13 @@
 def test_a_time_out_closes_the_connection() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)  # the connection is up, so that the time-out can't meet the connect
-            await bench.end()
-            bench.send(timeout=20_000)
+            rig = Rig(peer.port)
+            rig.send()
+            await peer.answer(OK)  # so that the timeout can't occur while connecting
+            await rig.end()
+            rig.send(timeout=20_000)
             assert (await peer.hear())[1] != b""
-            assert await bench.end() == (2, Result.TIMEOUT)
+            assert await rig.end() == (2, Result.TIMEOUT)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
@@ -200,134 +200,136 @@
 def test_an_attempt_given_up_while_connecting_writes_nothing_later() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.servers.cancel(bench.send(size=11))
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
-            cut = bench.send(timeout=0, size=12)
-            assert await bench.end() == (cut.request, Result.CONNECT_FAILED)
-            bench.send(size=13)
-            while (heard := (await peer.hear())[1]) == b"":
+            rig = Rig(peer.port)
+            rig.servers.cancel(rig.send(size=11))
+            assert await rig.end() == (1, Result.CONNECT_FAILED)
+            timed_out = rig.send(timeout=0, size=12)
+            assert await rig.end() == (timed_out.request, Result.CONNECT_FAILED)
+            rig.send(size=13)
+            while (received := (await peer.hear())[1]) == b"":
                 pass
-            assert heard == resp(b"CALL.GET", b"x" * 13)
+            assert received == resp(b"CALL.GET", b"x" * 13)
 
     run(scenario)
 
 
-def leave(bench: Bench, port: int, how: str) -> None:
+def remove_server(rig: Rig, port: int, how: str) -> None:
     if how == "in no list":
-        bench.servers.update([], True)
+        rig.servers.update([], True)
     elif how == "restarted":
-        bench.servers.update(at(port, started=7), False)
+        rig.servers.update(listed(port, started=7), False)
     else:
-        bench.servers.update(at(port, State[how]), False)
+        rig.servers.update(listed(port, State[how]), False)
 
 
-LEAVING = ("DRAINING", "GONE", "in no list", "restarted")
+REMOVALS = ("DRAINING", "GONE", "in no list", "restarted")
 
 
-@pytest.mark.parametrize("how", LEAVING)
-def test_an_attempt_that_is_connecting_when_its_server_leaves_is_free_to_go_elsewhere_at_once(
+@pytest.mark.parametrize("how", REMOVALS)
+def test_an_attempt_that_is_connecting_when_its_server_is_removed_ends_as_not_sent_at_once(
     how: str,
 ) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send(size=11)
-            leave(bench, peer.port, how)
-            assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
-            bench.servers.update(at(peer.port), False)  # taken back
-            bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
+            rig = Rig(peer.port)
+            rig.send(size=11)
+            remove_server(rig, peer.port, how)
+            assert rig.engine.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
+            rig.servers.update(listed(peer.port), False)  # the server is ready again
+            rig.send(size=12)
+            while (received := (await peer.hear())[1]) == b"":
                 pass
-            assert heard == resp(b"CALL.GET", b"x" * 12)
+            assert received == resp(b"CALL.GET", b"x" * 12)
 
     run(scenario)
 
 
-@pytest.mark.parametrize("how", LEAVING)
-def test_the_gate_before_the_first_byte_holds_by_itself(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # On a connection that was kept, and on one that comes up late.
+@pytest.mark.parametrize("how", REMOVALS)
+def test_nothing_new_is_written_to_a_removed_server_even_without_the_withdrawal(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # On a reused connection, and on one that is established later.
     async def scenario() -> None:
         async with Peer() as peer:
             for kept in (True, False):
-                bench = Bench(peer.port)
+                rig = Rig(peer.port)
                 if kept:
-                    bench.send()
+                    rig.send()
                     writer, _ = await peer.hear()
                     writer.write(OK)
-                    assert await bench.end() == (1, Result.OK)
+                    assert await rig.end() == (1, Result.OK)
                 else:
-                    bench.send()
-                    await asyncio.sleep(0)  # it is on its way
-                leave(bench, peer.port, how)
+                    rig.send()
+                    await asyncio.sleep(0)  # it is connecting
+                remove_server(rig, peer.port, how)
                 if kept:
-                    bench.send()
-                assert (await bench.end())[1] is Result.NOT_SENT
-                bench.servers.close()
+                    rig.send()
+                assert (await rig.end())[1] is Result.NOT_SENT
+                rig.servers.close()
                 assert (await peer.hear())[1] == b""
 
     monkeypatch.setattr(Servers, "_withdraw_unsent", lambda *_: None)
     run(scenario)
 
 
-def test_a_withdrawn_attempt_goes_out_only_if_it_has_begun() -> None:
+def test_a_withdrawn_attempt_continues_only_if_it_was_written() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.servers.withdraw(bench.send())
-            assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
-            begun = bench.send(size=12)
-            while (heard := await peer.hear())[1] == b"":
+            rig = Rig(peer.port)
+            rig.servers.withdraw(rig.send())
+            assert rig.engine.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
+            written = rig.send(size=12)
+            while (received := await peer.hear())[1] == b"":
                 pass
-            assert heard[1] == resp(b"CALL.GET", b"x" * 12)
-            bench.servers.withdraw(begun)
-            heard[0].write(OK)
-            assert await bench.end() == (2, Result.OK)
+            assert received[1] == resp(b"CALL.GET", b"x" * 12)
+            rig.servers.withdraw(written)
+            received[0].write(OK)
+            assert await rig.end() == (2, Result.OK)
 
     run(scenario)
 
 
-def test_connections_opened_ahead_carry_what_comes_next_within_the_limit_and_have_no_price() -> None:
+def test_connections_are_opened_ahead_within_the_limit_unless_they_have_a_price() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             for price, opened in ((0.1, 0), (0.0, 3)):
-                bench = Bench(peer.port, most=3)
-                bench.servers.adopt(replace(FAST, handshake_price=price), 60_000_000, 3)
-                bench.servers.open_ahead(["s-1", "unknown"], 5)
+                rig = Rig(peer.port, max_connections=3)
+                rig.servers.adopt(replace(FAST, handshake_price=price), 60_000_000, 3)
+                rig.servers.open_ahead(["s-1", "unknown"], 5)
                 await asyncio.sleep(0)
-                while bench.servers.open < opened or bench.servers._preconnecting:
+                while rig.servers.open < opened or rig.servers._preconnecting:
                     await asyncio.sleep(0)
-                assert (bench.servers.open, len(bench.servers._preconnecting)) == (opened, 0)
-            bench.send()
-            assert not bench.servers._connecting
-            bench.servers.update(at(peer.port, State.DRAINING), False)
-            bench.servers.open_ahead(["s-1"], 1)
-            assert not bench.servers._preconnecting
+                assert (rig.servers.open, len(rig.servers._preconnecting)) == (opened, 0)
+            rig.send()
+            assert not rig.servers._connecting
+            rig.servers.update(listed(peer.port, State.DRAINING), False)
+            rig.servers.open_ahead(["s-1"], 1)
+            assert not rig.servers._preconnecting
 
     run(scenario)
 
 
-def test_no_connection_is_opened_to_a_server_that_leaves() -> None:
+def test_no_connection_is_opened_to_a_draining_server() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.servers.update(at(peer.port, State.DRAINING), False)
-            bench.send()
-            assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
-            assert not bench.servers._connecting
+            rig = Rig(peer.port)
+            rig.servers.update(listed(peer.port, State.DRAINING), False)
+            rig.send()
+            assert rig.engine.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
+            assert not rig.servers._connecting
 
     run(scenario)
 
 
-def test_what_a_draining_server_works_on_may_finish_and_idle_connections_close() -> None:
+def test_an_attempt_at_a_removed_server_may_finish_and_idle_connections_close() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             writer, _ = await peer.hear()
-            bench.servers.update([], True)  # a whole list without it: it is gone
+            rig.servers.update([], True)  # a full list without it: it is gone
             writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
+            assert await rig.end() == (1, Result.OK)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
@@ -336,36 +338,36 @@
 def test_a_connection_carries_one_attempt_at_a_time_and_is_used_again() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             first, _ = await peer.hear()
-            bench.send()
+            rig.send()
             second, _ = await peer.hear()
             assert first is not second
             second.write(OK)
-            assert await bench.end() == (2, Result.OK)
-            bench.send()
+            assert await rig.end() == (2, Result.OK)
+            rig.send()
             assert (await peer.hear())[0] is second
 
     run(scenario)
 
 
-def test_an_idle_connection_is_dropped_before_the_server_does() -> None:
+def test_an_idle_connection_is_closed_before_the_server_closes_it() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(OK)
-            await bench.end()
-            now = bench.servers.loop.time()
-            for passed, kept in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
-                bench.servers.close_idle(now + passed)
-                bench.send()
+            await rig.end()
+            now = rig.servers.loop.time()
+            for passed, reused in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
+                rig.servers.close_idle(now + passed)
+                rig.send()
                 writer, data = await peer.hear()
-                assert (data != b"") is kept
-                if kept:
+                assert (data != b"") is reused
+                if reused:
                     writer.write(OK)
-                    await bench.end()
+                    await rig.end()
 
     run(scenario)
 
@@ -373,135 +375,137 @@
 def test_a_restarted_server_gets_new_connections() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(OK)
-            await bench.end()
-            bench.servers.update(at(peer.port, started=7), False)
+            await rig.end()
+            rig.servers.update(listed(peer.port, started=7), False)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
 
 
-def test_connections_are_bounded() -> None:
+def test_the_number_of_connections_is_limited() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port, most=1)
-            bench.send()
+            rig = Rig(peer.port, max_connections=1)
+            rig.send()
             writer, _ = await peer.hear()
-            bench.send()
-            assert await bench.end() == (2, Result.NOT_SENT)
+            rig.send()
+            assert await rig.end() == (2, Result.NOT_SENT)
             writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
+            assert await rig.end() == (1, Result.OK)
 
     run(scenario)
 
 
 @pytest.mark.parametrize("silent", [1, 2])
-def test_after_silent_time_outs_idle_connections_are_not_trusted(silent: int) -> None:
-    # Guards against machines that vanished: their open connections say nothing, and end as resets later.
-    # One time-out is more often mere slowness, and a new connection costs the server work.
+def test_after_silent_timeouts_idle_connections_are_not_reused(silent: int) -> None:
+    # Detects hosts that have vanished: their open connections stay silent, and end as resets later.
+    # A single timeout is more often mere slowness, and a new connection costs the server work.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
+            rig = Rig(peer.port)
             for _ in range(3):
-                bench.send()
-            heard = [await peer.hear() for _ in range(3)]
-            for writer, _ in heard:
+                rig.send()
+            received = [await peer.hear() for _ in range(3)]
+            for writer, _ in received:
                 writer.write(OK)
             for _ in range(3):
-                await bench.end()
+                await rig.end()
             for _ in range(silent):
-                attempt = bench.send()
+                attempt = rig.send()
                 assert (await peer.hear())[1] != b""
-                bench.servers.cancel(attempt)
-                assert await bench.end() == (attempt.request, Result.CANCELLED)
+                rig.servers.cancel(attempt)
+                assert await rig.end() == (attempt.request, Result.CANCELLED)
                 assert (await peer.hear())[1] == b""
             if silent == 2:
-                assert (await peer.hear())[1] == b""  # the third, which was idle
-            bench.send()
+                assert (await peer.hear())[1] == b""  # the third one, which was idle
+            rig.send()
             writer, data = await peer.hear()
             assert data != b""
-            assert (writer in [w for w, _ in heard]) is (silent == 1)
+            assert (writer in [w for w, _ in received]) is (silent == 1)
 
     run(scenario)
 
 
-def test_after_a_slow_answer_of_a_server_that_answers_others_they_are_kept() -> None:
+def test_idle_connections_are_kept_after_a_timeout_at_a_server_that_answers_others() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             first, _ = await peer.hear()
-            slow = bench.send()
+            slow = rig.send()
             second, _ = await peer.hear()
             first.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            bench.servers.cancel(slow)
-            assert await bench.end() == (2, Result.CANCELLED)
+            assert await rig.end() == (1, Result.OK)
+            rig.servers.cancel(slow)
+            assert await rig.end() == (2, Result.CANCELLED)
             assert (await peer.hear()) == (second, b"")
-            bench.send()
+            rig.send()
             assert (await peer.hear())[0] is first
 
     run(scenario)
 
 
 def test_an_idle_connection_that_is_closing_is_not_used() -> None:
-    # Guards against a write that the transport drops because the other end's close is still to be told: the
-    # request never left, but would count as a reset, and an unsafe one could not be tried again.
+    # The transport drops a write on a closing connection: the request would never leave, but count as a
+    # reset, and one that is not repeatable could not be retried.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             await peer.answer(OK)
-            await bench.end()
-            for transport in bench.transports():
+            await rig.end()
+            for transport in rig.transports():
                 transport.close()
-            bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
+            rig.send(size=12)
+            while (received := (await peer.hear())[1]) == b"":
                 pass
             peer.writers[-1].write(OK)
-            assert heard == resp(b"CALL.GET", b"x" * 12)
-            assert await bench.end() == (2, Result.OK)
+            assert received == resp(b"CALL.GET", b"x" * 12)
+            assert await rig.end() == (2, Result.OK)
 
     run(scenario)
 
 
-def test_what_comes_behind_a_good_answer_is_not_served_to_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the value: a second copy may come in a later read, when the connection carries another attempt.
+def test_data_behind_a_valid_answer_is_not_the_answer_of_the_next_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # A duplicated answer may arrive in a later read, when the connection could carry another attempt.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             first, _ = await peer.hear()
             first.write(OK)
-            await bench.end()
-            bench.send()  # the first connection rests
+            await rig.end()
+            rig.send()  # the reuse delay of the first connection is not over
             second, _ = await peer.hear()
             assert second is not first
             first.write(OK)
             assert (await peer.hear()) == (first, b"")
             second.write(OK.replace(b"value", b"other"))
-            assert (await bench.heard.ended.get())[2] == b"other"
+            assert (await rig.engine.ended.get())[2] == b"other"
 
     monkeypatch.setattr("lynxreel.backends.pools.REUSE_DELAY", 60.0)
     run(scenario)
 
 
-def test_a_connection_with_something_unread_on_it_is_not_used() -> None:
-    # The same where the loop was busy: what came behind the answer waits in the socket.
+def test_a_connection_with_unread_data_is_not_used() -> None:
+    # The same when the loop was busy: the data behind the answer waits in the socket.
     async def scenario() -> None:
         with socket.create_server((LOCAL, 0)) as listener:
-            bench = Bench(listener.getsockname()[1])
+            rig = Rig(listener.getsockname()[1])
             loop = asyncio.get_running_loop()
             listener.setblocking(False)
-            bench.send()
+            rig.send()
             server, _ = await loop.sock_accept(listener)
             assert await loop.sock_recv(server, 100) != b""
             server.send(OK)
-            await bench.end()
-            server.send(OK)  # and the loop has no turn before the next attempt
-            bench.send(size=12)
+            await rig.end()
+            server.send(OK)  # and the loop does not run before the next attempt
+            rig.send(size=12)
             other, _ = await loop.sock_accept(listener)
             assert await loop.sock_recv(other, 100) == resp(b"CALL.GET", b"x" * 12)
             server.close()
@@ -510,108 +514,108 @@
     run(scenario)
 
 
-def test_a_connection_to_where_a_server_was_before_its_restart_is_not_used() -> None:
+def test_a_connection_to_a_server_before_its_restart_is_not_used() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             writer, _ = await peer.hear()
-            bench.servers.update(at(peer.port, started=7), False)
+            rig.servers.update(listed(peer.port, started=7), False)
             writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
+            assert await rig.end() == (1, Result.OK)
             assert await peer.hear() == (writer, b"")
 
     run(scenario)
 
 
-def test_a_server_that_is_gone_is_forgotten_when_nothing_is_out() -> None:
-    # Guards memory: servers are replaced all day under new names.
+def test_a_server_that_is_gone_is_removed_when_no_attempt_is_active() -> None:
+    # Prevents a memory leak: servers are replaced all day under new names.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
+            rig = Rig(peer.port)
+            rig.send()
             writer, _ = await peer.hear()
-            bench.servers.update(at(peer.port, State.GONE), False)
-            bench.servers._sweep()
-            assert set(bench.servers._pools) == {"s-1"}
+            rig.servers.update(listed(peer.port, State.GONE), False)
+            rig.servers._sweep()
+            assert set(rig.servers._pools) == {"s-1"}
             writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            bench.servers._sweep()
-            assert not bench.servers._pools
-            bench.send()
-            assert await bench.end() == (2, Result.CONNECT_FAILED)
+            assert await rig.end() == (1, Result.OK)
+            rig.servers._sweep()
+            assert not rig.servers._pools
+            rig.send()
+            assert await rig.end() == (2, Result.CONNECT_FAILED)
 
     run(scenario)
 
 
-def test_the_gateways_own_limit_on_descriptors_says_nothing_of_the_server(
+def test_a_lack_of_descriptors_at_the_gateway_does_not_count_against_the_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        bench = Bench(1)
+        rig = Rig(1)
 
-        async def none_left(*_: object) -> None:
+        async def no_descriptors(*_: object) -> None:
             raise OSError(errno.EMFILE, "too many open files")
 
-        monkeypatch.setattr(bench.servers, "loop", SimpleNamespace(
-            create_connection=none_left, create_task=asyncio.create_task, time=bench.servers.loop.time,
+        monkeypatch.setattr(rig.servers, "loop", SimpleNamespace(
+            create_connection=no_descriptors, create_task=asyncio.create_task, time=rig.servers.loop.time,
             call_later=asyncio.get_running_loop().call_later,
         ))  # fmt: skip
-        bench.send()
-        assert await bench.end() == (1, Result.NOT_SENT)
+        rig.send()
+        assert await rig.end() == (1, Result.NOT_SENT)
 
     run(scenario)
 
 
-def test_how_long_connections_may_idle_is_learnt_from_resets() -> None:
-    # Guards unsafe requests: what stands between may forget a connection long before the server closes it,
-    # and says so only to the next request.
-    ages = IdleTimes()
+def test_idle_times_that_lead_to_resets_are_learnt() -> None:
+    # A middlebox may drop a connection long before the server closes it, and resets only the next request,
+    # which can't be retried if it is not repeatable.
+    idle_times = IdleTimes()
     for _ in range(20):
-        ages.record(0.01, False)
-        ages.record(0.3, True)
-    assert ages.trusted(0.01, repeatable=False)
-    assert not ages.trusted(0.3, repeatable=False)
-    tries = [ages.trusted(0.3, repeatable=True) for _ in range(80)]
-    assert tries.count(True) == 10  # so that it shows when they can be trusted again
+        idle_times.record(0.01, False)
+        idle_times.record(0.3, True)
+    assert idle_times.trusted(0.01, repeatable=False)
+    assert not idle_times.trusted(0.3, repeatable=False)
+    trials = [idle_times.trusted(0.3, repeatable=True) for _ in range(80)]
+    assert trials.count(True) == 10  # so that it becomes known when they can be trusted again
     for _ in range(40):
-        ages.record(0.3, False)
-    assert ages.trusted(0.3, repeatable=False)
+        idle_times.record(0.3, False)
+    assert idle_times.trusted(0.3, repeatable=False)
 
 
-def test_one_reset_condemns_no_age() -> None:
-    ages = IdleTimes()
-    ages.record(0.3, True)
-    assert ages.trusted(0.3, repeatable=False)
+def test_a_single_reset_does_not_make_an_idle_time_untrusted() -> None:
+    idle_times = IdleTimes()
+    idle_times.record(0.3, True)
+    assert idle_times.trusted(0.3, repeatable=False)
 
 
-def test_an_unsafe_request_takes_a_new_connection_where_kept_ones_were_reset() -> None:
+def test_a_request_that_is_not_repeatable_takes_a_new_connection_if_idle_ones_were_reset() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            bench = Bench(peer.port)
+            rig = Rig(peer.port)
             for _ in range(3):  # each connection is reset at its second request
-                bench.send()
-                writer = await heard(peer, OK)
-                await bench.end()
-                bench.send()
+                rig.send()
+                writer = await answer_next(peer, OK)
+                await rig.end()
+                rig.send()
                 while not (again := await peer.hear())[1]:
                     pass
                 assert again[0] is writer
                 writer.transport.abort()
-                assert (await bench.end())[1] is Result.RESET
-            bench.send()
-            writer = await heard(peer, OK)
-            await bench.end()
-            bench.send(cls=ONCE)
-            assert await heard(peer, OK) is not writer
-            assert (await bench.end())[1] is Result.OK
+                assert (await rig.end())[1] is Result.RESET
+            rig.send()
+            writer = await answer_next(peer, OK)
+            await rig.end()
+            rig.send(cls=ONCE)
+            assert await answer_next(peer, OK) is not writer
+            assert (await rig.end())[1] is Result.OK
 
     run(scenario)
 
 
-async def heard(peer: Peer, answer: bytes) -> asyncio.StreamWriter:
+async def answer_next(peer: Peer, answer: bytes) -> asyncio.StreamWriter:
     """Answer the next command."""
-    while not (came := await peer.hear())[1]:
+    while not (message := await peer.hear())[1]:
         pass
-    came[0].write(answer)
-    return came[0]
+    message[0].write(answer)
+    return message[0]
--- a/tests/test_shutdown_report.py
+++ b/tests/test_shutdown_report.py
@@ -1,9 +1,9 @@
-"""What a shutdown tells of requests."""
+"""The report on requests during a shutdown."""
 
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 
 
-def test_a_request_read_while_connections_are_closed_is_followed_to_its_end() -> None:
+def test_a_request_read_while_connections_are_closed_is_logged_until_its_end() -> None:
     now, lines = 10.0, list[str]()
     report = ShutdownReport(lambda: now, lines.append)
     report.state("leaving", 3, 2)
@@ -30,7 +30,7 @@
     assert report.counts() == {"read": {"new": 1, "busy": 1}, "ended": {"failed": 1, "served": 1}}
 
 
-def test_lines_on_requests_are_bounded_and_those_on_states_are_not_crowded_out() -> None:
+def test_lines_on_requests_are_limited_and_do_not_crowd_out_those_on_states() -> None:
     now, lines = 0.0, list[str]()
     report = ShutdownReport(lambda: now, lines.append)
     report.draining = True
--- a/tests/test_without_counter.py
+++ b/tests/test_without_counter.py
@@ -11,7 +11,7 @@
 from mothgap.interface import Limits, ListKind, Plan, Result, Send
 from tests.helpers import CUSTOMER, SECOND, SETTINGS, Driver, kinds, line
 from tests.net import Peer, call
-from tests.test_engine import Ends, play
+from tests.test_engine import Streams, run_scenario
 
 ALONE = replace(SETTINGS, counter=None, limits=Limits(max_attempts=2))
 
@@ -70,13 +70,13 @@
             yield api.Count(5, -1.0, SECOND)
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: Peer, ends: Streams) -> None:
         engine.counter = None
         reader, writer = ends
         writer.write(call(1))
         assert (await reader.readline()).startswith(b"-BUSY")
         await asyncio.sleep(0)
 
-    events = play(monkeypatch, script, scenario)
+    events = run_scenario(monkeypatch, script, scenario)
     assert api.Counted(5, Result.CONNECT_FAILED, 0, 0.0) in events
     assert "Traceback" not in capfd.readouterr().err
