--- a/lynxreel/daemon/instance.py
+++ b/lynxreel/daemon/instance.py
@@ -119,7 +119,7 @@
                     self.later(self._drain())
                 case Do.EXIT:
                     if self.node.shutdown is not None:
-                        self.node.shutdown.finish(self.node.connections, self.node.engine.owed())
+                        self.node.shutdown.finish(self.node.connections, self.node.engine.pending_requests())
             self.do(do)
 
     async def _drain(self) -> None:
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -152,7 +152,7 @@
         """What this instance believes of a customer and of its count."""
         guard, name = self.node.guard, int(asked["name"])
         count = guard.believes(name) if guard is not None else {}
-        return {"customer": self.node.engine.believes(int(asked["customer"])), "count": count}
+        return {"customer": self.node.engine.customer_usage(int(asked["customer"])), "count": count}
 
     def _boxes(self, asked: dict[str, Any]) -> Any:
         """What this instance believes of its boxes and why."""
@@ -324,7 +324,7 @@
             "listen": [f"{host}:{port}" for host, port in self.node.clients.addresses],
             "http": [f"{host}:{port}" for host, port in self.node.web.addresses] if self.node.web else [],
             "connections": self.node.connections,
-            "owed": self.node.engine.owed(),
+            "owed": self.node.engine.pending_requests(),
             "reloads": self._reloads,
             "reload_problems": self._reload_problems,
             "totals": dict(self._tally.totals),
@@ -377,7 +377,7 @@
         if not (content or self._quiet >= QUIET_SPANS or last):
             return False
         self._quiet = 0
-        owed, connections = self.node.engine.owed(), self.node.connections
+        owed, connections = self.node.engine.pending_requests(), self.node.connections
         counts = {"counts": [], "causes": {}, **content, "owed": owed, "connections": connections}
         counts["stood_ms"] = round(self._stood * 1e3)
         counts["internal_errors"] = internal_errors.count
--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -25,7 +25,7 @@
     from lynxreel.relay.stream import Stream
 
 # Microseconds subtracted from a client's timeout for the network in both directions and for event loop lag.
-WAY = 10_000
+NETWORK_MARGIN = 10_000
 # Microseconds after the deadline given to the decision module at which the engine answers without it.
 ANSWER_GRACE = 5_000
 
@@ -77,7 +77,7 @@
         """Answer that another request already uses its id."""
 
 
-class Desk(Protocol):
+class RequestHandler(Protocol):
     """Accepts requests from the fronts."""
 
     def submit(self, call: Call) -> int:
@@ -196,9 +196,10 @@
         self.counter: Counter | None = None  # a deployment may have none
         self.tally: Tally | None = None
         self.peers: Peers | None = None
-        self.watch: RequestObserver | None = None
+        self.observer: RequestObserver | None = None
         self.shutdown: ShutdownReport | None = None  # set when the process starts to shut down
-        self.sees: Callable[[str, api.Result], None] | None = None  # called with the result of each attempt
+        # Called with the server and the result of each attempt that has ended.
+        self.on_attempt_ended: Callable[[str, api.Result], None] | None = None
         self._settings = settings
         self._loop = loop
         self._module = Gateway(settings, seed, self.clock.now())
@@ -222,7 +223,9 @@
             self.tally.taken(call.cls, call.plan)
         request = next(self._request_numbers)
         # The class's deadline bounds the wait, whatever timeout the client gives.
-        time_left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
+        time_left = max(
+            0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - NETWORK_MARGIN
+        )
         now = self.clock.now()
         expires_at = now + time_left if self._answer_by is None else min(now + time_left, self._answer_by)
         self._requests[request] = OpenRequest(call, expires_at, self._start_expiry_timer(request, expires_at))
@@ -263,29 +266,29 @@
         self._priority_events.append(api.NewSettings(settings))
         self._schedule()
 
-    def share(self, fraction: float) -> None:
+    def set_ceiling_share(self, fraction: float) -> None:
         """Set the fraction of an even share of all ceilings to use; handled before all queued events."""
         self._priority_events.append(api.Share(fraction))
         self._schedule()
 
-    def use(self, fractions: Mapping[int, float]) -> None:
+    def set_zone_fractions(self, fractions: Mapping[int, float]) -> None:
         """Set the fraction of each zone's servers to use; zones that are not named are used in full."""
         self._priority_events.append(api.ZoneParts(tuple(fractions.items())))
         self._schedule()
 
-    def believes(self, customer: int) -> dict[str, float]:
+    def customer_usage(self, customer: int) -> dict[str, float]:
         """What the decision module knows of a customer's usage, for the operators."""
         return view.believes(self._module, customer)
 
-    def in_use(self) -> dict[int, view.Use]:
+    def zone_usage(self) -> dict[int, view.Use]:
         """By zone: this gateway's attempts in flight, and how many its servers can take from it at once."""
         return view.use(self._module)
 
-    def owed(self) -> int:
+    def pending_requests(self) -> int:
         """Number of requests that wait for their final answer."""
         return sum(not open_request.closed for open_request in self._requests.values())
 
-    def news(self, members: api.Members) -> None:
+    def update_members(self, members: api.Members) -> None:
         """Update the list of servers; handled before all queued events, as sends rely on it."""
         self._priority_events.append(members)
         self._schedule()
@@ -306,10 +309,10 @@
         attempt.open_request.active -= 1
         attempt.open_request.unsent += result is api.Result.NOT_SENT
         attempt.open_request.may_have_run |= not result.never_ran
-        if self.watch is not None:
-            self.watch.ended(attempt, result)
-        if self.sees is not None:
-            self.sees(attempt.server, result)
+        if self.observer is not None:
+            self.observer.ended(attempt, result)
+        if self.on_attempt_ended is not None:
+            self.on_attempt_ended(attempt.server, result)
         if self.shutdown is not None:
             self.shutdown.attempt_ended(attempt.call.id, attempt.number, result.value)
         if result is api.Result.OK and (closed := self._close(attempt.request, "served")) is not None:
@@ -335,8 +338,8 @@
     def _process_events(self) -> None:
         """Handle the queued events. Events that are queued meanwhile are handled in the next run."""
         self._scheduled = False
-        if self.watch is not None:  # the module has to know this before it refuses one of these requests
-            for request, unsure in self.watch.unsure():
+        if self.observer is not None:  # the module has to know this before it refuses one of these requests
+            for request, unsure in self.observer.unsure():
                 self._handle_event(api.Unsure(request, unsure))
         for queue in (self._priority_events, self._events):
             for _ in range(len(queue)):
@@ -344,7 +347,7 @@
                 actions = self._handle_event(event)
                 for action in actions:
                     self._execute(action, event)
-                if self.watch is not None and isinstance(event, api.Request):
+                if self.observer is not None and isinstance(event, api.Request):
                     self._notify_counted(event.id, actions)
                 if isinstance(event, api.Expired) or (isinstance(event, api.Outcome) and event.final):
                     self._requests.pop(event.request, None)
@@ -364,8 +367,8 @@
             return actions
 
     def _notify_counted(self, request: int, actions: list[api.Action]) -> None:
-        if self.watch is not None and any(isinstance(action, api.Count) for action in actions):
-            self.watch.counted(request)
+        if self.observer is not None and any(isinstance(action, api.Count) for action in actions):
+            self.observer.counted(request)
 
     def _abandon(self, request: int) -> None:
         """Answer a request without the module: with a refusal only if a retry is known to be safe."""
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -20,7 +20,7 @@
 
 import h11
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.forwarded import Network, told
@@ -74,7 +74,7 @@
         return self.serving.admission.table.http_boxes
 
     def front(
-        self, engine: Desk, most: int, loop: asyncio.AbstractEventLoop, doors: Doors, back: bool
+        self, engine: RequestHandler, most: int, loop: asyncio.AbstractEventLoop, doors: Doors, back: bool
     ) -> Web:
         """The front, which listens nowhere yet; `most` connections. `back`: clients may come back."""
         return Web(engine, self.serving, most, loop, doors, back)
@@ -598,7 +598,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         serving: Serving,
         most: int,
         loop: asyncio.AbstractEventLoop,
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, cast
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.lingering import LingeringClose, has_unread, peer_has_closed
@@ -511,7 +511,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         terms: Terms,
         most: int,
         loop: asyncio.AbstractEventLoop,
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -13,7 +13,7 @@
 from lynxreel.backends.pools import Servers, Wire
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.counters.bump import Counter
-from lynxreel.engine.engine import Clock, Desk, Engine
+from lynxreel.engine.engine import Clock, RequestHandler, Engine
 from lynxreel.engine.shutdown_report import ShutdownReport
 from lynxreel.fronts.draining import DrainTimes
 from lynxreel.fronts.listeners import Doors, OwnDoors
@@ -132,7 +132,7 @@
             from lynxreel.zones.shell import Zones  # here: only where it is configured
 
             self.zones = Zones(deployment.zones, self.engine, self.servers, self.mesh, loop)
-        desk: Desk = self.cover or self.engine
+        desk: RequestHandler = self.cover or self.engine
         doors = doors or OwnDoors(loop)
         self.clients = Clients(desk, self._terms(deployment), clients, loop, doors)
         self.web: Web | None = None
@@ -147,7 +147,7 @@
         self._told = False  # the engine has heard of servers
         self._held = True  # its share, or nothing
         if deployment.part != 1.0:
-            self.engine.share(deployment.part)
+            self.engine.set_ceiling_share(deployment.part)
         if known is not None:  # told of an empty list, the module would take its fleet for a huge one
             self._news(*known)
         version = 0 if known is None else known[0].version
@@ -210,7 +210,7 @@
 
     def _news(self, members: Members, lines: list[tuple[Member, Address]]) -> None:
         self.servers.update(lines, members.kind is not ListKind.CHANGES)
-        self.engine.news(members)
+        self.engine.update_members(members)
         if self.zones is not None:
             self.zones.listed(members)
 
@@ -290,7 +290,7 @@
     def hold(self, held: bool) -> None:
         """Hold this instance's share of ceilings from now on, or hand all of it back."""
         self._held = held
-        self.engine.share(self.deployment.part if held else 0.0)
+        self.engine.set_ceiling_share(self.deployment.part if held else 0.0)
 
     async def warm(self, patience: float | None) -> None:
         """Wait so many seconds, or for good, for news of the servers."""
@@ -360,8 +360,10 @@
             self._count(deployment)
             if deployment.part != self.deployment.part and self._held:
                 if deployment.part < self.deployment.part:
-                    self.engine.share(0.0)  # customers come to other gateways: what was saved up goes, too
-                self.engine.share(deployment.part)
+                    self.engine.set_ceiling_share(
+                        0.0
+                    )  # customers come to other gateways: what was saved up goes, too
+                self.engine.set_ceiling_share(deployment.part)
             self.engine.adopt(settings)
             self.servers.adopt(settings, names.idle, servers)
             if self.cover is not None:
@@ -406,7 +408,7 @@
             self.engine.shutdown = self.clients.report = self.shutdown
             if self.web is not None:
                 self.web.report = self.shutdown
-        self.shutdown.state(state, self.connections, self.engine.owed())
+        self.shutdown.state(state, self.connections, self.engine.pending_requests())
         return self.shutdown
 
     def stop(self, refuse_after: float, answer_by: float) -> None:
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lynxreel.engine.engine import WAY, Attempt, Call, Engine
+from lynxreel.engine.engine import NETWORK_MARGIN, Attempt, Call, Engine
 from lynxreel.links.mesh import Mesh
 from lynxreel.links.peers import News
 from lynxreel.links.rank import Ranks
@@ -52,7 +52,7 @@
     ) -> None:
         """`adopt` follows before anything else."""
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
-        engine.backend, engine.watch = self, self
+        engine.backend, engine.observer = self, self
         servers.may, self.mesh = self._may, mesh
         mesh.join(KINDS, self._heard, self._news)
         places = (mesh.own, *mesh.places.values())
@@ -164,7 +164,7 @@
         """Nobody has what this client may have asked for before."""
         timer, call = self._timers.pop(token), self._calls.pop(token)
         timer.cancel()
-        left = round((timer.when() - self._loop.time()) * 1e3) + WAY // 1_000
+        left = round((timer.when() - self._loop.time()) * 1e3) + NETWORK_MARGIN // 1_000
         if not self._begin(token, call, max(1, left)):
             call.clash()
 
@@ -183,7 +183,7 @@
     def _come(self, token: int, call: Call) -> None:
         if token not in self._calls:
             return
-        left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
+        left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - NETWORK_MARGIN)
         effect = self._settings.classes[call.cls].effect
         self._timers[token] = self._loop.call_later(left / 1e6, self._overdue, token, effect)
         asked = self._now(), token, call.id, call.customer, effect
@@ -211,7 +211,9 @@
             covered.portable(),
             covered.mark,
         )
-        left = max(0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - WAY)
+        left = max(
+            0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - NETWORK_MARGIN
+        )
         self._act(self.work.accepted(self._now(), record, left, covered.counted, covered.token))
 
     def _ended(self, covered: Covered, answer: Answer, value: bytes | Stream) -> None:
@@ -355,7 +357,7 @@
             log(f"work of class {record.cls} and plan {record.plan} can't be gone on with: unknown here")
             self._act(self.work.finished(self._now(), record.id, Answer(How.FAILED)))
             return
-        patience = (carry.left + WAY) // 1_000
+        patience = (carry.left + NETWORK_MARGIN) // 1_000
         taken = carry.counted, carry.sent
         covered = Covered.revived(record, (places[0], places[1]), patience, *taken, self._ended)
         covered.request = self._engine.submit(covered)
--- a/lynxreel/zones/shell.py
+++ b/lynxreel/zones/shell.py
@@ -42,7 +42,7 @@
         self, plan: Plan, engine: Engine, servers: Servers, mesh: Mesh, loop: asyncio.AbstractEventLoop
     ) -> None:
         self._plan, self._engine, self._servers, self._mesh, self._loop = plan, engine, servers, mesh, loop
-        engine.sees = self._ended
+        engine.on_attempt_ended = self._ended
         mesh.join((Report, Told), self._heard, self._news)
         places = {place.name: place.zone for place in (mesh.own, *mesh.places.values())}
         self._member = Member(mesh.own.name, places, plan.terms, plan.evidence, self._now())
@@ -96,7 +96,7 @@
             self._act(self._member.look(now, self._unix(), use))
 
     def _use(self) -> dict[str, tuple[float, float]]:
-        names, use = self._plan.names, self._engine.in_use()
+        names, use = self._plan.names, self._engine.zone_usage()
         return {names[number]: (out, bears) for number, (out, bears) in use.items() if number in names}
 
     @staticmethod
@@ -115,7 +115,9 @@
                     self._asking = self._loop.create_task(self._ask(action))
                 case Use():
                     known = {zone: part for zone, part in action.parts.items() if zone in self._numbers}
-                    self._engine.use({self._numbers[zone]: part for zone, part in known.items()})
+                    self._engine.set_zone_fractions(
+                        {self._numbers[zone]: part for zone, part in known.items()}
+                    )
                 case Ahead():
                     self._servers.open_ahead(action.boxes, action.count)
                 case Line():
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -102,7 +102,7 @@
         self.calls: list[RecordingCall] = []
         self.written: set[Attempt] = set()
         self.spread = spread
-        self.engine.news(Members(ListKind.FULL, 1, (line(1), line(2))))
+        self.engine.update_members(Members(ListKind.FULL, 1, (line(1), line(2))))
 
     # Called by the engine.
 
@@ -184,7 +184,7 @@
 async def ceiling_used_up(rig: Rig) -> None:
     await rig.submit(ONCE, 1)
     await rig.count()
-    while rig.engine.owed():
+    while rig.engine.pending_requests():
         await asyncio.sleep(0.01)  # until no other gateway has lent a part of the ceiling in time
 
 
@@ -211,7 +211,7 @@
 
 async def finish(rig: Rig) -> None:
     """End all active attempts with OK, and answer every counter call."""
-    while rig.engine.owed() or rig.counts or any(not attempt.ended for attempt in rig.sent):
+    while rig.engine.pending_requests() or rig.counts or any(not attempt.ended for attempt in rig.sent):
         for attempt in rig.sent:
             if not attempt.ended:
                 rig.engine.finished(attempt, Result.OK, b"value")
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -274,7 +274,7 @@
     disconnected = asyncio.Event()
 
     async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
-        engine.watch = Observer()
+        engine.observer = Observer()
         streams[1].write(call(1))
         await asyncio.sleep(0.02)
         disconnected.set()
@@ -299,7 +299,7 @@
 
     async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
         engine.submit(typing.cast(gateway.Call, DisconnectedCall()))
-        engine.news(members)
+        engine.update_members(members)
         await handled.wait()
 
     events = run_scenario(monkeypatch, script, scenario)
@@ -385,7 +385,7 @@
 
     request = run_scenario(monkeypatch, send_requests, scenario)[0]
     assert isinstance(request, api.Request)
-    assert request.time_left == SETTINGS.classes[0].deadline - gateway.WAY
+    assert request.time_left == SETTINGS.classes[0].deadline - gateway.NETWORK_MARGIN
 
 
 def test_a_stop_reduces_the_timeouts_of_active_and_of_later_attempts(
@@ -445,7 +445,7 @@
     async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1, b"c=lookup,t=basic,d=3000"))
-        while not engine.owed():
+        while not engine.pending_requests():
             await asyncio.sleep(0)
         engine.stop(10.0, 0.05)
         early = asyncio.ensure_future(reader.readline())
