--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -81,9 +81,9 @@
     """Accepts requests from the fronts."""
 
     def submit(self, call: Call) -> int:
-        """Accept a request and return its number, as `gone` takes it; 0 if another request uses its id."""
+        """Accept a request; returns its number for `client_disconnected`, or 0 if another one uses its id."""
 
-    def gone(self, request: int) -> None:
+    def client_disconnected(self, request: int) -> None:
         """The client has disconnected."""
 
 
@@ -215,7 +215,7 @@
     # --- called by the sockets' side --------------------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Accept a request and return its number, as `gone` takes it; 0 if another request uses its id."""
+        """Accept a request; returns its number for `client_disconnected`, or 0 if another one uses its id."""
         if call.id in self._ids_in_use:
             return 0
         self._ids_in_use.add(call.id)
@@ -233,7 +233,7 @@
         self.post(api.Request(request, call.cls, call.plan, call.customer, *extras))
         return request
 
-    def gone(self, request: int, moved: bool = False) -> None:
+    def client_disconnected(self, request: int, moved: bool = False) -> None:
         """The client has disconnected. `moved`: another gateway has resumed the request and has its units."""
         if self._close(request, "left") is not None:
             if moved:
@@ -318,7 +318,7 @@
         if result is api.Result.OK and (closed := self._close(attempt.request, "served")) is not None:
             self._respond(closed, lambda call: call.served(value))
         elif not isinstance(value, bytes):
-            value.gone()  # the request was answered before, so the value is not needed
+            value.release()  # the request was answered before, so the value is not needed
         self._release_id(attempt.open_request)
         elapsed = self.clock.now() - attempt.started
         final = attempt.open_request.closed
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -555,7 +555,7 @@
         self.web.connections.discard(self)
         call, self._call = self._call, None
         if call is not None and call.request and not call.repeat:
-            self.web.engine.gone(call.request)
+            self.web.engine.client_disconnected(call.request)
 
 
 def _doubt(head: bytes) -> tuple[int, str] | None:
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -345,7 +345,7 @@
         """The turn of a large value. With the limit at 0, `resume_writing` tells when what came is sent."""
         self._stream, self._whole = stream, False
         if self.transport.is_closing():
-            stream.gone()
+            stream.release()
             return
         self.transport.set_write_buffer_limits(high=0)
         if self._holds & self.UNREAD:  # the look whether the value goes on takes that one's place
@@ -374,7 +374,7 @@
     def _streamed(self) -> None:
         """It has all left this process."""
         assert self._stream is not None
-        self._stream.gone()
+        self._stream.release()
         self._stream = None
         self._clients.streams.pop(self, None)
         self.transport.set_write_buffer_limits()
@@ -500,9 +500,9 @@
         self._ending = True
         for call in self.queue:
             if call.request:
-                self._clients.engine.gone(call.request)
+                self._clients.engine.client_disconnected(call.request)
             elif isinstance(call.reply, Stream):
-                call.reply.gone()
+                call.reply.release()
         self.queue.clear()
 
 
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -360,9 +360,8 @@
             self._count(deployment)
             if deployment.part != self.deployment.part and self._held:
                 if deployment.part < self.deployment.part:
-                    self.engine.set_ceiling_share(
-                        0.0
-                    )  # customers come to other gateways: what was saved up goes, too
+                    # customers come to other gateways: what was saved up goes, too
+                    self.engine.set_ceiling_share(0.0)
                 self.engine.set_ceiling_share(deployment.part)
             self.engine.adopt(settings)
             self.servers.adopt(settings, names.idle, servers)
--- a/lynxreel/relay/stream.py
+++ b/lynxreel/relay/stream.py
@@ -84,7 +84,7 @@
         else:
             self._sink.break_off()
 
-    def gone(self) -> None:
+    def release(self) -> None:
         """Release the stream: the client has the whole value, or has disconnected."""
         self._budget.close(self)
         if self._complete is None:
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -168,14 +168,14 @@
         if not self._begin(token, call, max(1, left)):
             call.clash()
 
-    def gone(self, token: int) -> None:
+    def client_disconnected(self, token: int) -> None:
         """A client has left."""
         self._calls.pop(token, None)
         if (timer := self._timers.pop(token, None)) is not None:
             timer.cancel()
         if (covered := self._fresh.pop(token, None)) is not None:
             covered.over = True
-            self._engine.gone(covered.request)
+            self._engine.client_disconnected(covered.request)
             self._covered.pop(covered.request)
         else:
             self._act(self.work.left(self._now(), token))
@@ -232,7 +232,7 @@
         waits = covered.token in self._calls
         self._act(self.work.finished(self._now(), covered.id, answer), (covered.token, value))
         if not isinstance(value, bytes) and not (waits and covered.token not in self._calls):
-            value.gone()  # nobody waits for it
+            value.release()  # nobody waits for it
 
     # --- the engine -------------------------------------------------------------------------------------
 
@@ -334,7 +334,7 @@
                     if (covered := self._by_id.pop(action.id, None)) is not None:
                         covered.over = True
                         self._covered.pop(covered.request, None)
-                        self._engine.gone(covered.request, action.moved)
+                        self._engine.client_disconnected(covered.request, action.moved)
                 case Ask():
                     self._ask(action)
         self._arm()
--- a/tests/net.py
+++ b/tests/net.py
@@ -108,5 +108,5 @@
         self._count += 1
         return self._count
 
-    def gone(self, request: int) -> None:
+    def client_disconnected(self, request: int) -> None:
         self.left.put_nowait(request)
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -190,7 +190,7 @@
 
 async def given_up_by_its_client(rig: Rig) -> None:
     await rig.submit()
-    rig.engine.gone(1)
+    rig.engine.client_disconnected(1)
     rig.calls.clear()
     await rig.settle()
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -179,7 +179,7 @@
 
     async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
         stub = typing.cast(gateway.Call, DisconnectedCall())
-        engine.gone(engine.submit(stub))  # before the module handles the request
+        engine.client_disconnected(engine.submit(stub))  # before the module handles the request
         await done.wait()
         assert peer.came.empty()
 
@@ -278,7 +278,7 @@
         streams[1].write(call(1))
         await asyncio.sleep(0.02)
         disconnected.set()
-        engine.gone(1)
+        engine.client_disconnected(1)
         await asyncio.sleep(0)
 
     events = run_scenario(monkeypatch, lambda event: iter(()), scenario)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -84,7 +84,7 @@
     ) -> None:
         self.ended.put_nowait((attempt.request, result, b"", load))
         if isinstance(value, Stream) and self.is_closed(attempt):
-            value.gone()
+            value.release()
         elif result is Result.OK:
             attempt.call.served(value)
         else:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -127,7 +127,8 @@
     ),
     Rule.SENT_FOR_NOBODY: (
         LEAVING_HANGING,
-        "from lynxreel.engine.engine import Engine\nEngine.gone = lambda engine, request, moved=False: None",
+        "from lynxreel.engine.engine import Engine\n"
+        "Engine.client_disconnected = lambda engine, request, moved=False: None",
     ),
     Rule.INTERNAL_ERROR: (
         PLAIN,
