--- a/bench/large_values.py
+++ b/bench/large_values.py
@@ -12,7 +12,7 @@
 
 from bench.rig import Rig, cpu, memory
 from lynxreel.protocol.address import read_address
-from lynxreel.protocol.resp import MOST_STREAM, pack
+from lynxreel.protocol.resp import MAX_STREAM, pack
 
 FAST, SECONDS = 8, 4.0
 SLOW, SLOW_READ, SLOW_PAUSE = 300, 64 * 1024, 0.25  # clients, and what each reads how often: 256 KiB a second
@@ -50,7 +50,7 @@
             await loop.sock_connect(own, read_address(self.address))
             while loop.time() < until:
                 asked = loop.time()
-                missing = whole = len(b"$%d\r\n" % MOST_STREAM) + MOST_STREAM + 2 + self.beside
+                missing = whole = len(b"$%d\r\n" % MAX_STREAM) + MAX_STREAM + 2 + self.beside
                 await loop.sock_sendall(own, self._call())
                 while missing and loop.time() < until:
                     got = await loop.sock_recv_into(own, buffer)
@@ -85,7 +85,7 @@
     print(f"large values: {'':<19}{'MB/s':>8}{'CPU s/GB':>12}{'first, ms':>12}{'RSS, MB':>10}")
     for _ in range(min(rounds, 3)):
         with Rig() as rig:
-            _, peers = rig.told("bench.peers", "1", f"value={MOST_STREAM}")
+            _, peers = rig.told("bench.peers", "1", f"value={MAX_STREAM}")
             process, address, _ = rig.gateway(peers)
             beside = len(b"*3\r\n$-1\r\n$-1\r\n")
             direct = [Reader(peers["boxes"][0], number, beside=beside) for number in range(FAST)]
--- a/lynxreel/backends/http.py
+++ b/lynxreel/backends/http.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.load_report = LoadReport(())
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use these settings from now on."""
         self.load_report = LoadReport(() if settings.report_by_probe else settings.report_fields)
 
--- a/lynxreel/backends/pools.py
+++ b/lynxreel/backends/pools.py
@@ -69,10 +69,10 @@
     valid: bool = True  # a valid answer of the protocol, so that the connection can be used again
 
 
-class Wire(Protocol):
+class ServerProtocol(Protocol):
     """A protocol that servers speak."""
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use these settings from now on."""
 
     def connection(self, pool: Pool) -> Connection:
@@ -311,18 +311,18 @@
         server_idle_limit: int,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        wire: Wire,
+        wire: ServerProtocol,
         budget: Budget,
     ) -> None:
-        """`budget` limits the buffers of streams; the other settings are those of `adopt`."""
+        """`budget` limits the buffers of streams; the other settings are those of `apply_settings`."""
         self.loop, self.wire, self.budget = loop, wire, budget
         self.buffer = memoryview(bytearray(MAX_READ))  # each read is processed before the next one
         self._engine = engine
         self.idle_times = IdleTimes()
         self.open = 0  # connections, in all pools
         # Asked before an attempt is written on a connection that it had to wait for.
-        self.may: Callable[[Attempt], bool] | None = None
-        self.adopt(settings, server_idle_limit, max_connections)
+        self.may_send: Callable[[Attempt], bool] | None = None
+        self.apply_settings(settings, server_idle_limit, max_connections)
         self._pools: dict[str, Pool] = {}
         self._active: dict[Attempt, tuple[asyncio.TimerHandle, Connection | None]] = {}
         self._connecting: dict[Attempt, asyncio.Task[None]] = {}
@@ -331,14 +331,14 @@
         )  # connections being established for no attempt yet
         self._sweep()
 
-    def adopt(self, settings: Settings, server_idle_limit: int, max_connections: int) -> None:
+    def apply_settings(self, settings: Settings, server_idle_limit: int, max_connections: int) -> None:
         """Use these settings from now on.
 
         `server_idle_limit` is the time in microseconds after which servers close idle connections.
         """
         self._settings, self._max_connections = settings, max_connections
         self._max_idle = server_idle_limit / 1e6 * IDLE_FRACTION
-        self.wire.adopt(settings)
+        self.wire.apply_settings(settings)
         self._repeatable = [cls.effect is Effect.REPEATABLE for cls in settings.classes]
 
     def update(self, lines: Iterable[tuple[Member, tuple[str, int]]], whole: bool) -> None:
@@ -397,7 +397,7 @@
         if isinstance(connection, Result):
             self.end_attempt(attempt, connection)
             return
-        if self.may is not None and not self.may(attempt):
+        if self.may_send is not None and not self.may_send(attempt):
             pool.release(connection)
             self.end_attempt(attempt, Result.NOT_SENT)
         else:
@@ -425,7 +425,7 @@
         self.open += 1
         return connection
 
-    def open_ahead(self, names: Iterable[str], count: int) -> None:
+    def preconnect(self, names: Iterable[str], count: int) -> None:
         """Open connections to these servers before they are needed, unless the settings put a price on it."""
         pools = [
             pool for name in names if (pool := self._pools.get(name)) is not None and not pool.closed_to_new
@@ -526,7 +526,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @property
-    def named(self) -> bool:
+    def has_ready_server(self) -> bool:
         """Whether any server may get new requests."""
         return any(not pool.closed_to_new for pool in self._pools.values())
 
--- a/lynxreel/backends/resp2.py
+++ b/lynxreel/backends/resp2.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._load_report = LoadReport(())
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use these settings from now on."""
         self._load_report = LoadReport(settings.report_fields)
         # The prefixes of load reports in error lines; none if answers carry no reports.
--- a/lynxreel/counters/redis.py
+++ b/lynxreel/counters/redis.py
@@ -84,7 +84,7 @@
 
     def __init__(self, counter: RedisCounter, address: Address) -> None:
         self._counter, self.address = counter, address
-        self._reader = hiredis.Reader(replyError=wire.Fault)
+        self._reader = hiredis.Reader(replyError=wire.ErrorReply)
         self._unread = 0
         self._parts: list[Any] = []
         self.transport: asyncio.Transport | None = None
@@ -154,7 +154,7 @@
                     head.set_result(reply)
             return
         self._parts.append(reply)
-        if len(self._parts) == wire.PARTS:
+        if len(self._parts) == wire.REPLIES_PER_CALL:
             self.written.popleft()
             parts, self._parts = self._parts, []
             self._counter.replied(self, head, parts)
@@ -237,7 +237,7 @@
         if told.result is Result.OK and call.over:
             self._post(CountedLate(call.name, call.amount, told.total))
         self.end(call, told.result, told.total)
-        if told.leave:
+        if told.drop_connection:
             self._look.set()
             line.drop()
 
@@ -300,7 +300,7 @@
                 async with asyncio.timeout(CONNECT):
                     await self._learn()
                 pause = RETRY
-            except (OSError, ValueError, wire.Fault) as wrong:
+            except (OSError, ValueError, wire.ErrorReply) as wrong:
                 log(f"the counter can't be found: {wrong!r}")
                 await asyncio.sleep(pause)
                 pause = min(MOST_RETRY, 2 * pause)
@@ -330,7 +330,7 @@
         for address in dict.fromkeys(addresses):
             try:
                 return await ask(address)
-            except (OSError, ValueError, wire.Fault) as wrong:
+            except (OSError, ValueError, wire.ErrorReply) as wrong:
                 problem = wrong
         raise problem
 
@@ -400,7 +400,7 @@
                 self._lines[address] = line
                 pause = 0.0
                 await self._tend(line)
-            except wire.Fault as wrong:
+            except wire.ErrorReply as wrong:
                 log(f"the counter at {address[0]}:{address[1]} refuses: {wrong}")
                 pause = MOST_RETRY
             except OSError:  # a time-out is one, too
@@ -447,7 +447,7 @@
                 seconds, micros = await line.ask("TIME")
             after = self._now()
             offset = int(seconds) * 1_000_000 + int(micros) - (before + after) // 2
-        except (OSError, ValueError, TypeError, wire.Fault):
+        except (OSError, ValueError, TypeError, wire.ErrorReply):
             return
         if abs(offset - self._shift) > CLOCK_STEP + (after - before):
             self._shift = offset
--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -260,7 +260,7 @@
         for attempt in list(self._active.values()):
             self.backend.shorten(attempt, max(0, self._answer_by - now))
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Use new settings. Classes and plans keep their indices, as `NewSettings` requires."""
         self._settings = settings
         self._priority_events.append(api.NewSettings(settings))
@@ -476,7 +476,7 @@
         self._active[(attempt.request, attempt.number)] = attempt
         timeout = min(action.timeout or time_left, time_left)  # 0: as long as the client waits
         if self.shutdown is not None:
-            self.shutdown.attempt_begun(open_request.call.id, number, action.server, timeout / 1e6)
+            self.shutdown.attempt_started(open_request.call.id, number, action.server, timeout / 1e6)
         self.backend.send(attempt, timeout)
 
     def _close(self, request: int, how: str, cause: api.Cause | None = None) -> OpenRequest | None:
--- a/lynxreel/engine/shutdown_report.py
+++ b/lynxreel/engine/shutdown_report.py
@@ -20,7 +20,7 @@
     """What a connection had carried when a request was read on it."""
 
     NEW = "new"  # no earlier request
-    RESTING = "resting"  # all earlier requests had been answered
+    IDLE = "resting"  # all earlier requests had been answered
     BUSY = "busy"  # earlier requests were waiting for their answers
     HALF_READ = "half-read"  # a part of the request had arrived before
 
@@ -50,7 +50,7 @@
             where = f"read on a {history.value} connection"
             self._request_line(f"{_label(request)} class {cls} {where}, {time_left:.3f} s left")
 
-    def attempt_begun(self, request: bytes, number: int, server: str, timeout: float) -> None:
+    def attempt_started(self, request: bytes, number: int, server: str, timeout: float) -> None:
         """A request is sent to a server, with a timeout in seconds."""
         if request in self._logged_requests:
             self._request_line(f"{_label(request)} attempt {number} to {server}, time-out {timeout:.3f} s")
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -31,7 +31,7 @@
 from lynxreel.openapi.routes import BadPath, split
 from lynxreel.protocol import resp
 from lynxreel.protocol.address import Address
-from lynxreel.protocol.exchange import WAIT, Answer, Exchange, Fields, pack
+from lynxreel.protocol.exchange import WAIT_FIELD, Answer, Exchange, Fields, pack
 from lynxreel.relay.stream import Stream
 
 MOST_HEAD = 16_384  # bytes of a request's head
@@ -122,7 +122,7 @@
             *head.fields, ("Forwarded", self.connection.came_from(self.serving.proxies)),
             ("Lynxreel-Customer", f"{self.customer:016x}"), ("Lynxreel-Class", names[0]),
             ("Lynxreel-Plan", names[1]), ("Lynxreel-Units", f"{self.units:g}"),
-            (WAIT, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
+            (WAIT_FIELD, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
         ]  # fmt: skip
         fields += [("Idempotency-Key", self.id.decode())] if head.key else []
         fields += [("Content-Type", self.whole.kind)] if self.whole.body and self.whole.kind else []
@@ -275,7 +275,7 @@
         if self._call is not None:
             return ConnectionHistory.BUSY
         half = self._buffer or self._http is not None
-        return ConnectionHistory.HALF_READ if half else ConnectionHistory.RESTING
+        return ConnectionHistory.HALF_READ if half else ConnectionHistory.IDLE
 
     def _read(self) -> None:
         while self._call is None and not self._ending and not self._unread and self._buffer:
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -207,7 +207,7 @@
             return ConnectionHistory.NEW
         if self.queue:
             return ConnectionHistory.BUSY
-        return ConnectionHistory.RESTING if self._reader.empty() else ConnectionHistory.HALF_READ
+        return ConnectionHistory.IDLE if self._reader.empty() else ConnectionHistory.HALF_READ
 
     def _read(self) -> None:
         """Take what is whole, as long as there is room for more answers."""
@@ -355,7 +355,7 @@
         self.transport.write(b"$%d\r\n" % stream.length)
         stream.attach(self)
 
-    def pass_on(self, data: bytes) -> int:
+    def write_piece(self, data: bytes) -> int:
         """A piece of a large value; how much is still on hand."""
         if self.transport.is_closing():
             return 0
@@ -381,7 +381,7 @@
         self.queue.popleft()
         self.flush()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The large value will never be whole: an end in its middle tells the client so."""
         self.transport.abort()
 
@@ -389,7 +389,7 @@
     def sent(self) -> int:
         """Bytes of the large value that have left this process."""
         assert self._stream is not None
-        return self._stream.passed - self.transport.get_write_buffer_size()
+        return self._stream.forwarded - self.transport.get_write_buffer_size()
 
     def _hold(self, why: int) -> None:
         if not self._holds and not self.transport.is_closing():
@@ -485,7 +485,7 @@
             if self._whole:
                 self._streamed()
             else:
-                self._stream.drained(0)
+                self._stream.set_buffered(0)
             return
         self._clients.waiting.pop(self, None)
         self._release(self.UNREAD)
@@ -655,7 +655,7 @@
             if (more := connection.sent) > sent:
                 self.streams[connection] = (more, self.loop.time())
             elif self.loop.time() - since > STALL:
-                connection.break_off()
+                connection.abort()
         late = self.loop.time() - IDLE_LEAST
         most = len(self.idle) - int(self._most * IDLE_PART)
         for connection, since in list(islice(self.idle.items(), max(0, most))):
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lynxreel.backends.pools import Servers, Wire
+from lynxreel.backends.pools import Servers, ServerProtocol
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.counters.bump import Counter
 from lynxreel.engine.engine import Clock, RequestHandler, Engine
@@ -166,7 +166,7 @@
         return Terms.of(deployment.settings, deployment.names, deployment.workers, back)
 
     @staticmethod
-    def _wire(deployment: Deployment) -> Wire:
+    def _wire(deployment: Deployment) -> ServerProtocol:
         """What servers speak."""
         if deployment.http is None or not deployment.http.http_boxes:
             return Resp2()
@@ -308,7 +308,7 @@
     @property
     def lacks(self) -> str:
         """Without what it would refuse all that it takes; nothing where it can serve."""
-        return "" if self.servers.named else "no servers"
+        return "" if self.servers.has_ready_server else "no servers"
 
     async def open(self) -> None:
         """Take clients. Raises an OSError where an address is taken."""
@@ -363,8 +363,8 @@
                     # customers come to other gateways: what was saved up goes, too
                     self.engine.set_ceiling_share(0.0)
                 self.engine.set_ceiling_share(deployment.part)
-            self.engine.adopt(settings)
-            self.servers.adopt(settings, names.idle, servers)
+            self.engine.apply_settings(settings)
+            self.servers.apply_settings(settings, names.idle, servers)
             if self.cover is not None:
                 self.cover.adopt(settings, deployment.places)
             self.clients.adopt(self._terms(deployment), clients)
--- a/lynxreel/protocol/commands.py
+++ b/lynxreel/protocol/commands.py
@@ -21,7 +21,7 @@
 def exchange(strings: Sequence[bytes], wait: int) -> Exchange:
     """The same for a box that speaks HTTP: the client's HTTP request, or a POST that carries a RESP2 call."""
     # Imported here because no box of the platform speaks HTTP.
-    from lynxreel.protocol.exchange import PACKED_MARKER, WAIT, Exchange, unpack
+    from lynxreel.protocol.exchange import PACKED_MARKER, WAIT_FIELD, Exchange, unpack
 
     if strings[0] == PACKED_MARKER:
         return unpack(strings, wait)
@@ -31,7 +31,7 @@
         ("Lynxreel-Customer", customer),
         ("Lynxreel-Request", number),
         ("Lynxreel-Terms", terms),
-        (WAIT, str(max(1, wait // 1_000))),
+        (WAIT_FIELD, str(max(1, wait // 1_000))),
         ("Content-Type", "application/octet-stream"),
     )
     return Exchange("POST", "/lynxreel/call", headers, b"".join(strings[4:]), body_only=True)
--- a/lynxreel/protocol/exchange.py
+++ b/lynxreel/protocol/exchange.py
@@ -22,7 +22,7 @@
 
 
 PACKED_MARKER = b"HTTP"  # the first string of a packed exchange
-WAIT = "Lynxreel-Wait-Ms"  # how long the gateway waits, in milliseconds
+WAIT_FIELD = "Lynxreel-Wait-Ms"  # how long the gateway waits, in milliseconds
 
 
 def pack(request: Exchange) -> tuple[bytes, ...]:
@@ -37,7 +37,9 @@
     """The request from its packed strings, with the microseconds that the gateway waits now."""
     method, target, host, statuses, body_only, *flat = [string.decode("latin-1") for string in strings[2:]]
     pairs = zip(flat[::2], flat[1::2], strict=True)
-    headers = tuple((name, str(max(1, wait // 1_000)) if name == WAIT else text) for name, text in pairs)
+    headers = tuple(
+        (name, str(max(1, wait // 1_000)) if name == WAIT_FIELD else text) for name, text in pairs
+    )
     rejection_statuses = frozenset(int(status) for status in statuses.split(",") if status)
     return Exchange(method, target, headers, strings[1], host, rejection_statuses, body_only == "1")
 
--- a/lynxreel/protocol/redis.py
+++ b/lynxreel/protocol/redis.py
@@ -21,7 +21,7 @@
 from mothgap.interface import Result
 
 SLOTS = 16_384
-PARTS = 4  # replies to one call
+REPLIES_PER_CALL = 4  # replies to one call
 ASKING = b"*1\r\n$6\r\nASKING\r\n"
 MULTI = b"*1\r\n$5\r\nMULTI\r\n"
 EXEC = b"*1\r\n$4\r\nEXEC\r\n"
@@ -33,7 +33,7 @@
 )  # this server can't serve the counter
 
 
-class Fault(Exception):
+class ErrorReply(Exception):
     """An error reply; its text begins with the kind of error."""
 
 
@@ -47,12 +47,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """The result of a call. `leave`: the connection can't be used for further calls."""
+class CallResult:
+    """The result of a call. `drop_connection`: the connection can't be used for further calls."""
 
     result: Result
     total: float = 0.0
-    leave: bool = False
+    drop_connection: bool = False
 
 
 def command(*arguments: bytes | str | int) -> bytes:
@@ -80,7 +80,7 @@
     return binascii.crc_hqx(key, 0) % SLOTS
 
 
-def outcome(replies: list[Any]) -> Done | Redirect:
+def outcome(replies: list[Any]) -> CallResult | Redirect:
     """Interpret the four replies to a call. Error replies are expected as exceptions."""
     error = next((str(reply) for reply in replies if isinstance(reply, Exception)), None)
     if error is not None:
@@ -91,17 +91,23 @@
             if number.isdigit() and port.isdigit():
                 return Redirect((host, int(port)), int(number), kind == "ASK")
         # The call was rejected before or by EXEC, so nothing was added.
-        return Done(Result.FULL, leave=kind in UNUSABLE_SERVER_ERRORS)
+        return CallResult(Result.FULL, drop_connection=kind in UNUSABLE_SERVER_ERRORS)
     results = replies[-1]
     if not isinstance(results, list) or len(results) != 2:
-        return Done(Result.RESET, leave=True)  # not a reply to EXEC: the amount may have been added
+        return CallResult(
+            Result.RESET, drop_connection=True
+        )  # not a reply to EXEC: the amount may have been added
     if isinstance(results[1], Exception):
-        return Done(Result.FULL)  # the key holds a value that is not a number
+        return CallResult(Result.FULL)  # the key holds a value that is not a number
     try:
         total = float(results[1])
     except (TypeError, ValueError):
         total = math.nan
-    return Done(Result.OK, total) if math.isfinite(total) else Done(Result.RESET, leave=True)
+    return (
+        CallResult(Result.OK, total)
+        if math.isfinite(total)
+        else CallResult(Result.RESET, drop_connection=True)
+    )
 
 
 def slot_map(reply: Any, asked: Address) -> list[tuple[int, int, Address]]:
--- a/lynxreel/protocol/resp.py
+++ b/lynxreel/protocol/resp.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 MAX_VALUE = 64 * 1024  # bytes in a string
-MOST_STREAM = 4 * 1024 * 1024  # bytes in an answer's value that is forwarded while it arrives
+MAX_STREAM = 4 * 1024 * 1024  # bytes in an answer's value that is forwarded while it arrives
 MAX_MESSAGE = MAX_VALUE + 4 * 1024  # bytes in all strings of a message: one value and its metadata
 MAX_HEADER = 16  # bytes in the line of a count or a length
 MAX_ERROR_LINE = 512  # bytes in an error line
@@ -110,7 +110,7 @@
                 self._items.append(None)
                 return True
             if self._answers and not self._items:
-                self._length = self._number(line, MOST_STREAM)
+                self._length = self._number(line, MAX_STREAM)
                 if self._length > MAX_VALUE:
                     self.large_remaining, self._length = self._length, 0
             else:
--- a/lynxreel/relay/stream.py
+++ b/lynxreel/relay/stream.py
@@ -20,13 +20,13 @@
 class Sink(Protocol):
     """The connection to the client."""
 
-    def pass_on(self, data: bytes) -> int:
+    def write_piece(self, data: bytes) -> int:
         """Write a piece of the value; returns how many written bytes are still buffered."""
 
     def finish(self) -> None:
         """The value is complete."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The value will never be complete; the client must be able to detect this."""
 
 
@@ -34,7 +34,7 @@
     """A value of `length` bytes. Its source starts it; its sink is attached after the earlier answers."""
 
     def __init__(self, length: int, budget: Budget, source: Source) -> None:
-        self.length, self.passed = length, 0
+        self.length, self.forwarded = length, 0
         self._budget, self._source = budget, source
         self._sink: Sink | None = None
         self._pieces: list[bytes] = []  # received before the sink was attached
@@ -50,10 +50,10 @@
         """Add the next bytes of the value."""
         if self._sink is None:
             self._pieces.append(data)
-            self.drained(sum(map(len, self._pieces)))
+            self.set_buffered(sum(map(len, self._pieces)))
         else:
-            self.passed += len(data)
-            self.drained(self._sink.pass_on(data))
+            self.forwarded += len(data)
+            self.set_buffered(self._sink.write_piece(data))
 
     def attach(self, sink: Sink) -> None:
         """Forward the bytes received so far to the sink, and the rest as it arrives."""
@@ -64,7 +64,7 @@
         if self._complete is not None:
             self._end_sink(self._complete)
 
-    def drained(self, buffered: int) -> None:
+    def set_buffered(self, buffered: int) -> None:
         """Report how many bytes are still buffered, and adapt the source's read limit."""
         self._budget.set_buffered(self, buffered)
         if self._complete is None:
@@ -82,7 +82,7 @@
         if complete:
             self._sink.finish()
         else:
-            self._sink.break_off()
+            self._sink.abort()
 
     def release(self) -> None:
         """Release the stream: the client has the whole value, or has disconnected."""
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -53,7 +53,7 @@
         """`adopt` follows before anything else."""
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
         engine.backend, engine.observer = self, self
-        servers.may, self.mesh = self._may, mesh
+        servers.may_send, self.mesh = self._may, mesh
         mesh.join(KINDS, self._heard, self._news)
         places = (mesh.own, *mesh.places.values())
         zones = {place.name: place.zone for place in places}
--- a/lynxreel/zones/shell.py
+++ b/lynxreel/zones/shell.py
@@ -119,7 +119,7 @@
                         {self._numbers[zone]: part for zone, part in known.items()}
                     )
                 case Ahead():
-                    self._servers.open_ahead(action.boxes, action.count)
+                    self._servers.preconnect(action.boxes, action.count)
                 case Line():
                     log(action.text)
                 case Note():
--- a/tests/test_redis.py
+++ b/tests/test_redis.py
@@ -26,7 +26,7 @@
 
 LIMIT = 2_000_000  # microseconds: long enough for a busy machine
 LIFE = 20_000_000
-ABORT = wire.Fault("EXECABORT Transaction discarded because of previous errors.")
+ABORT = wire.ErrorReply("EXECABORT Transaction discarded because of previous errors.")
 
 
 class Heard:
@@ -79,22 +79,28 @@
 @pytest.mark.parametrize(
     ("replies", "told"),
     [
-        (["OK", "QUEUED", "QUEUED", [None, b"2.5"]], wire.Done(Result.OK, 2.5)),
-        (["OK", "QUEUED", "QUEUED", [b"OK", b"1"]], wire.Done(Result.OK, 1.0)),
+        (["OK", "QUEUED", "QUEUED", [None, b"2.5"]], wire.CallResult(Result.OK, 2.5)),
+        (["OK", "QUEUED", "QUEUED", [b"OK", b"1"]], wire.CallResult(Result.OK, 1.0)),
         (
-            ["OK", wire.Fault("MOVED 5 10.0.0.1:7"), wire.Fault("MOVED 5 10.0.0.1:7"), ABORT],
+            ["OK", wire.ErrorReply("MOVED 5 10.0.0.1:7"), wire.ErrorReply("MOVED 5 10.0.0.1:7"), ABORT],
             wire.Redirect(("10.0.0.1", 7), 5, False),
         ),
-        (["OK", wire.Fault("ASK 5 10.0.0.1:7"), "QUEUED", ABORT], wire.Redirect(("10.0.0.1", 7), 5, True)),
-        (["OK", wire.Fault("OOM no"), wire.Fault("OOM no"), ABORT], wire.Done(Result.FULL)),
-        (["OK", wire.Fault("READONLY no"), "QUEUED", ABORT], wire.Done(Result.FULL, leave=True)),
-        (["OK", "QUEUED", "QUEUED", [b"OK", wire.Fault("ERR no float")]], wire.Done(Result.FULL)),
-        (["OK", "QUEUED", "QUEUED", [b"OK", b"much"]], wire.Done(Result.RESET, leave=True)),
-        (["OK", "QUEUED", "QUEUED", b"2"], wire.Done(Result.RESET, leave=True)),
-        (["OK", "QUEUED", "QUEUED", [b"OK", b"nan"]], wire.Done(Result.RESET, leave=True)),
+        (
+            ["OK", wire.ErrorReply("ASK 5 10.0.0.1:7"), "QUEUED", ABORT],
+            wire.Redirect(("10.0.0.1", 7), 5, True),
+        ),
+        (["OK", wire.ErrorReply("OOM no"), wire.ErrorReply("OOM no"), ABORT], wire.CallResult(Result.FULL)),
+        (
+            ["OK", wire.ErrorReply("READONLY no"), "QUEUED", ABORT],
+            wire.CallResult(Result.FULL, drop_connection=True),
+        ),
+        (["OK", "QUEUED", "QUEUED", [b"OK", wire.ErrorReply("ERR no float")]], wire.CallResult(Result.FULL)),
+        (["OK", "QUEUED", "QUEUED", [b"OK", b"much"]], wire.CallResult(Result.RESET, drop_connection=True)),
+        (["OK", "QUEUED", "QUEUED", b"2"], wire.CallResult(Result.RESET, drop_connection=True)),
+        (["OK", "QUEUED", "QUEUED", [b"OK", b"nan"]], wire.CallResult(Result.RESET, drop_connection=True)),
     ],
 )
-def test_what_replies_come_to(replies: list[Any], told: wire.Done | wire.Redirect) -> None:
+def test_what_replies_come_to(replies: list[Any], told: wire.CallResult | wire.Redirect) -> None:
     assert wire.outcome(replies) == told
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -14,7 +14,7 @@
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.engine.engine import Attempt, Engine
 from lynxreel.fronts.resp2 import Clients
-from lynxreel.protocol.resp import MOST_STREAM
+from lynxreel.protocol.resp import MAX_STREAM
 from lynxreel.relay.budget import MIN_READ, Budget
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Member, Result, State
@@ -22,7 +22,7 @@
 from tests.net import LOCAL, TERMS, Heard, Peer, call, drain_times, run
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-LARGE = MOST_STREAM
+LARGE = MAX_STREAM
 TAIL = b"\r\n$-1\r\n$8\r\nutil=0.5\r\n"
 
 
@@ -237,7 +237,7 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("size", [MOST_STREAM + 1, 3_000_000_000])
+@pytest.mark.parametrize("size", [MAX_STREAM + 1, 3_000_000_000])
 def test_a_value_over_the_size_limit_is_no_answer(size: int) -> None:
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -294,8 +294,8 @@
         async with Peer() as peer:
             for price, opened in ((0.1, 0), (0.0, 3)):
                 rig = Rig(peer.port, max_connections=3)
-                rig.servers.adopt(replace(FAST, handshake_price=price), 60_000_000, 3)
-                rig.servers.open_ahead(["s-1", "unknown"], 5)
+                rig.servers.apply_settings(replace(FAST, handshake_price=price), 60_000_000, 3)
+                rig.servers.preconnect(["s-1", "unknown"], 5)
                 await asyncio.sleep(0)
                 while rig.servers.open < opened or rig.servers._preconnecting:
                     await asyncio.sleep(0)
@@ -303,7 +303,7 @@
             rig.send()
             assert not rig.servers._connecting
             rig.servers.update(listed(peer.port, State.DRAINING), False)
-            rig.servers.open_ahead(["s-1"], 1)
+            rig.servers.preconnect(["s-1"], 1)
             assert not rig.servers._preconnecting
 
     run(scenario)
--- a/tests/test_shutdown_report.py
+++ b/tests/test_shutdown_report.py
@@ -8,11 +8,11 @@
     report = ShutdownReport(lambda: now, lines.append)
     report.state("leaving", 3, 2)
     report.request_read(b"early", 0, ConnectionHistory.NEW, 2.0)
-    report.attempt_begun(b"early", 0, "s-1", 2.0)
+    report.attempt_started(b"early", 0, "s-1", 2.0)
     report.draining = True
     now = 10.93
     report.request_read(b"late", 1, ConnectionHistory.BUSY, 21.566)
-    report.attempt_begun(b"late", 0, "s-2", 21.5)
+    report.attempt_started(b"late", 0, "s-2", 21.5)
     report.attempt_ended(b"late", 0, "timeout")
     now = 11.0
     report.request_ended(b"late", "failed", "no time")
