--- a/lynxreel/protocol/redis.py
+++ b/lynxreel/protocol/redis.py
@@ -94,9 +94,8 @@
         return CallResult(Result.FULL, drop_connection=kind in UNUSABLE_SERVER_ERRORS)
     results = replies[-1]
     if not isinstance(results, list) or len(results) != 2:
-        return CallResult(
-            Result.RESET, drop_connection=True
-        )  # not a reply to EXEC: the amount may have been added
+        # Not a valid reply to EXEC: the amount may have been added.
+        return CallResult(Result.RESET, drop_connection=True)
     if isinstance(results[1], Exception):
         return CallResult(Result.FULL)  # the key holds a value that is not a number
     try:
@@ -110,16 +109,16 @@
     )
 
 
-def slot_map(reply: Any, asked: Address) -> list[tuple[int, int, Address]]:
+def slot_map(reply: Any, address: Address) -> list[tuple[int, int, Address]]:
     """Ranges of slots (first, last) and their primaries, from a reply to CLUSTER SLOTS.
 
-    A node that does not know its own host reports an empty one; `asked`, the address that sent the reply,
+    A node that does not know its own host reports an empty one; `address`, the address that sent the reply,
     supplies it. Raises ValueError if the reply is not valid.
     """
     try:
         ranges = []
         for first, last, primary, *_ in reply:
-            host = primary[0].decode() if primary[0] else asked[0]
+            host = primary[0].decode() if primary[0] else address[0]
             ranges.append((int(first), int(last), (host, int(primary[1]))))
     except (AttributeError, IndexError, TypeError, ValueError):
         raise ValueError("no map of slots") from None
--- a/lynxreel/relay/budget.py
+++ b/lynxreel/relay/budget.py
@@ -10,7 +10,7 @@
 from collections.abc import Hashable
 
 MIN_READ = 4 * 1024  # bytes that a stream with an empty buffer may read
-MAX_READ = 64 * 1024  # bytes buffered of one stream; more gains nothing
+MAX_READ = 64 * 1024  # bytes in one read, and so buffered of one stream; more gains nothing
 
 
 class Budget:
