--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -20,7 +20,7 @@
 
 import h11
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.forwarded import Network, told
@@ -31,7 +31,7 @@
 from lynxreel.openapi.routes import BadPath, split
 from lynxreel.protocol import resp
 from lynxreel.protocol.address import Address
-from lynxreel.protocol.exchange import WAIT, Answer, Exchange, Fields, pack
+from lynxreel.protocol.exchange import WAIT_FIELD, Answer, Exchange, Fields, pack
 from lynxreel.relay.stream import Stream
 
 MOST_HEAD = 16_384  # bytes of a request's head
@@ -74,7 +74,7 @@
         return self.serving.admission.table.http_boxes
 
     def front(
-        self, engine: Desk, most: int, loop: asyncio.AbstractEventLoop, doors: Doors, back: bool
+        self, engine: RequestHandler, most: int, loop: asyncio.AbstractEventLoop, doors: Doors, back: bool
     ) -> Web:
         """The front, which listens nowhere yet; `most` connections. `back`: clients may come back."""
         return Web(engine, self.serving, most, loop, doors, back)
@@ -122,7 +122,7 @@
             *head.fields, ("Forwarded", self.connection.came_from(self.serving.proxies)),
             ("Lynxreel-Customer", f"{self.customer:016x}"), ("Lynxreel-Class", names[0]),
             ("Lynxreel-Plan", names[1]), ("Lynxreel-Units", f"{self.units:g}"),
-            (WAIT, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
+            (WAIT_FIELD, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
         ]  # fmt: skip
         fields += [("Idempotency-Key", self.id.decode())] if head.key else []
         fields += [("Content-Type", self.whole.kind)] if self.whole.body and self.whole.kind else []
@@ -275,7 +275,7 @@
         if self._call is not None:
             return ConnectionHistory.BUSY
         half = self._buffer or self._http is not None
-        return ConnectionHistory.HALF_READ if half else ConnectionHistory.RESTING
+        return ConnectionHistory.HALF_READ if half else ConnectionHistory.IDLE
 
     def _read(self) -> None:
         while self._call is None and not self._ending and not self._unread and self._buffer:
@@ -555,7 +555,7 @@
         self.web.connections.discard(self)
         call, self._call = self._call, None
         if call is not None and call.request and not call.repeat:
-            self.web.engine.gone(call.request)
+            self.web.engine.client_disconnected(call.request)
 
 
 def _doubt(head: bytes) -> tuple[int, str] | None:
@@ -598,7 +598,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         serving: Serving,
         most: int,
         loop: asyncio.AbstractEventLoop,
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lynxreel.engine.engine import WAY, Attempt, Call, Engine
+from lynxreel.engine.engine import NETWORK_MARGIN, Attempt, Call, Engine
 from lynxreel.links.mesh import Mesh
 from lynxreel.links.peers import News
 from lynxreel.links.rank import Ranks
@@ -52,8 +52,8 @@
     ) -> None:
         """`adopt` follows before anything else."""
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
-        engine.backend, engine.watch = self, self
-        servers.may, self.mesh = self._may, mesh
+        engine.backend, engine.observer = self, self
+        servers.may_send, self.mesh = self._may, mesh
         mesh.join(KINDS, self._heard, self._news)
         places = (mesh.own, *mesh.places.values())
         zones = {place.name: place.zone for place in places}
@@ -164,18 +164,18 @@
         """Nobody has what this client may have asked for before."""
         timer, call = self._timers.pop(token), self._calls.pop(token)
         timer.cancel()
-        left = round((timer.when() - self._loop.time()) * 1e3) + WAY // 1_000
+        left = round((timer.when() - self._loop.time()) * 1e3) + NETWORK_MARGIN // 1_000
         if not self._begin(token, call, max(1, left)):
             call.clash()
 
-    def gone(self, token: int) -> None:
+    def client_disconnected(self, token: int) -> None:
         """A client has left."""
         self._calls.pop(token, None)
         if (timer := self._timers.pop(token, None)) is not None:
             timer.cancel()
         if (covered := self._fresh.pop(token, None)) is not None:
             covered.over = True
-            self._engine.gone(covered.request)
+            self._engine.client_disconnected(covered.request)
             self._covered.pop(covered.request)
         else:
             self._act(self.work.left(self._now(), token))
@@ -183,7 +183,7 @@
     def _come(self, token: int, call: Call) -> None:
         if token not in self._calls:
             return
-        left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
+        left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - NETWORK_MARGIN)
         effect = self._settings.classes[call.cls].effect
         self._timers[token] = self._loop.call_later(left / 1e6, self._overdue, token, effect)
         asked = self._now(), token, call.id, call.customer, effect
@@ -211,7 +211,9 @@
             covered.portable(),
             covered.mark,
         )
-        left = max(0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - WAY)
+        left = max(
+            0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - NETWORK_MARGIN
+        )
         self._act(self.work.accepted(self._now(), record, left, covered.counted, covered.token))
 
     def _ended(self, covered: Covered, answer: Answer, value: bytes | Stream) -> None:
@@ -230,7 +232,7 @@
         waits = covered.token in self._calls
         self._act(self.work.finished(self._now(), covered.id, answer), (covered.token, value))
         if not isinstance(value, bytes) and not (waits and covered.token not in self._calls):
-            value.gone()  # nobody waits for it
+            value.release()  # nobody waits for it
 
     # --- the engine -------------------------------------------------------------------------------------
 
@@ -332,7 +334,7 @@
                     if (covered := self._by_id.pop(action.id, None)) is not None:
                         covered.over = True
                         self._covered.pop(covered.request, None)
-                        self._engine.gone(covered.request, action.moved)
+                        self._engine.client_disconnected(covered.request, action.moved)
                 case Ask():
                     self._ask(action)
         self._arm()
@@ -355,7 +357,7 @@
             log(f"work of class {record.cls} and plan {record.plan} can't be gone on with: unknown here")
             self._act(self.work.finished(self._now(), record.id, Answer(How.FAILED)))
             return
-        patience = (carry.left + WAY) // 1_000
+        patience = (carry.left + NETWORK_MARGIN) // 1_000
         taken = carry.counted, carry.sent
         covered = Covered.revived(record, (places[0], places[1]), patience, *taken, self._ended)
         covered.request = self._engine.submit(covered)
