--- a/lynxreel/membership/__init__.py
+++ b/lynxreel/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which boxes there are, from whatever source: one core without I/O that checks what a source says."""
+"""The list of boxes from any source; `core` checks without I/O what a source reports."""
--- a/lynxreel/membership/core.py
+++ b/lynxreel/membership/core.py
@@ -1,15 +1,15 @@
-"""What sources say of the boxes in, what the engine is to know out; without I/O, the clock handed in.
+"""Derives the engine's list of boxes from what a source reports. No I/O; the caller passes the time.
 
-A source tells whole states and changes, each with its revision. What it says is kept as it said it; what the
-engine knows follows it, unless a guard holds it back:
+A source reports full lists and changes, each with a revision. The reported list is stored unchanged; the
+engine's list follows it, unless a guard prevents that:
 
-- a change that would leave no box serving, or take away more than a part of those serving within a span, is
-  held until it is approved, or until the source says something that takes away less;
-- an address under two ids is the first one's: the other is left out, and told;
-- a box that comes and goes is left draining until it has been steady for a while.
+- a change that would leave no box serving, or remove more than a certain part of the serving boxes within a
+  certain time, is held until it is approved, or until the source reports a list that removes fewer;
+- an address under two ids belongs to the first: the other one is left out, and logged;
+- a box that flaps between serving and not is kept draining until it has been steady for a while.
 
-A source that goes silent changes nothing: the last state stays, drains with it, and is told to be old.
-Times are seconds on a clock that never steps.
+A source that falls silent changes nothing: the last list stays in force, with its drains, and the silence is
+logged. Times are seconds on a monotonic clock.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Box:
-    """One box as a source names it. `started` is Unix time in microseconds; 0 for long ago."""
+    """A box as a source reports it. `started` is Unix time in microseconds; 0: long ago."""
 
     id: str
     address: Address
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True)
 class Guards:
-    """What a source may not do without a second word. Times are seconds."""
+    """Limits on changes that need no approval, and on flapping and silence. Times are seconds."""
 
-    most_removed: float = 0.5  # part of those serving...
-    within: float = 60.0  # ...over this span
-    flaps: int = 6  # changes between serving and not...
-    flap_span: float = 60.0  # ...over this span make a box flap
-    flap_rest: float = 30.0  # and it must be steady for so long
-    silent: float = 10.0  # after which a source is told to be silent
+    most_removed: float = 0.5  # fraction of the serving boxes that may be removed...
+    within: float = 60.0  # ...within this time
+    flaps: int = 6  # more changes between serving and not...
+    flap_span: float = 60.0  # ...within this time make a box flap,
+    flap_rest: float = 30.0  # and it is kept draining until it has been steady for this time
+    silent: float = 10.0  # without a report, after which a source counts as silent
 
 
 @dataclass(frozen=True)
 class Publish:
-    """The engine is to know this now: boxes that are new or differ, and ids that are gone."""
+    """Update the engine's list: boxes that are new or changed, and ids that were removed."""
 
     revision: int
     changed: tuple[Box, ...]
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Tell:
-    """A line for the operators: which guard has acted, and on what."""
+    """A log line for the operators: which guard has acted, and on what."""
 
     guard: str  # held, approved, released, twice, flapping, steady, silent, backwards
     text: str
@@ -69,102 +69,102 @@
 
 
 @dataclass
-class _Flaps:
-    """When a box changed between serving and not."""
+class _Flapping:
+    """Changes of a box between serving and not."""
 
     at: deque[float] = field(default_factory=deque)
-    until: float = 0.0  # it is left draining until then; 0: it is not held
+    until: float = 0.0  # kept draining until then; 0: not flapping
 
 
 class Membership:
-    """One gateway's view of the boxes by one source."""
+    """The list of boxes of one gateway, from one source."""
 
     def __init__(self, guards: Guards, now: float) -> None:
         self.guards = guards
-        self.revision = -1  # the last that the source told
-        self.known: dict[str, Box] = {}  # what the engine knows
-        self.held = ""  # why the source's state is not followed; empty where it is
-        self._said: dict[str, Box] = {}  # what the source says
-        self._removed: dict[str, float] = {}  # boxes taken from those serving, and when
-        self._flaps: dict[str, _Flaps] = {}
-        self._twice: set[str] = set()
-        self._heard, self._silent = now, False
+        self.revision = -1  # the last one that the source reported
+        self.known: dict[str, Box] = {}  # the engine's list, by id
+        self.held = ""  # why the reported list is not applied; empty if it is
+        self._reported: dict[str, Box] = {}  # the reported list, by id
+        self._removed: dict[str, float] = {}  # ids that stopped serving, and when
+        self._flaps: dict[str, _Flapping] = {}
+        self._duplicates: set[str] = set()
+        self._last_report, self._silent = now, False
 
-    # --- what a source says -----------------------------------------------------------------------------
+    # --- reports of a source ----------------------------------------------------------------------------
 
     def whole(self, now: float, revision: int, boxes: Iterable[Box]) -> list[Action]:
-        """The whole state. One of an older revision is a source that was restored: it counts as it stands."""
+        """Apply a full list. One of an older revision comes from a restored source, and is accepted."""
         actions: list[Action] = []
         if revision < self.revision:
             why = f"revision {revision} after {self.revision}: taken as a new start"
             actions.append(Tell("backwards", why))
-        said = {box.id: box for box in boxes}
-        self._note_flaps(now, said, [*self._said, *said])
-        self._said, self.revision = said, revision
-        return [*self._hear(now), *actions, *self._follow(now)]
+        reported = {box.id: box for box in boxes}
+        self._note_flaps(now, reported, [*self._reported, *reported])
+        self._reported, self.revision = reported, revision
+        return [*self._note_alive(now), *actions, *self._update(now)]
 
     def change(self, now: float, revision: int, put: Iterable[Box], gone: Iterable[str]) -> list[Action]:
-        """A change as one step, whatever it holds of one box. One that is known already changes nothing."""
+        """Apply a change as one step. One of a known revision is ignored, except as a sign of life."""
         if revision <= self.revision:
-            return self._hear(now)
-        said = dict(self._said)
-        for number in gone:
-            said.pop(number, None)
-        said.update((box.id, box) for box in put)
-        self._note_flaps(now, said, [*self._said, *said])
-        self._said, self.revision = said, revision
-        return [*self._hear(now), *self._follow(now)]
+            return self._note_alive(now)
+        reported = dict(self._reported)
+        for box_id in gone:
+            reported.pop(box_id, None)
+        reported.update((box.id, box) for box in put)
+        self._note_flaps(now, reported, [*self._reported, *reported])
+        self._reported, self.revision = reported, revision
+        return [*self._note_alive(now), *self._update(now)]
 
     def heard(self, now: float) -> list[Action]:
-        """The source lives, though nothing changed."""
-        return self._hear(now)
+        """Note that the source is alive, though nothing changed."""
+        return self._note_alive(now)
 
     def approve(self, now: float) -> list[Action]:
-        """The second word: follow the source as it stands, however much that takes away."""
+        """Approve the held change: apply the reported list, however many boxes that removes."""
         if not self.held:
             return []
         self._removed.clear()
-        return [Tell("approved", self.held), *self._follow(now, approved=True)]
+        return [Tell("approved", self.held), *self._update(now, approved=True)]
 
     def view(self, now: float) -> dict[str, object]:
-        """What is believed and why, for the operators."""
-        believed = {number: box.state.name.lower() for number, box in self.known.items()}
-        said = {number: box.state.name.lower() for number, box in self._said.items()}
+        """Return both lists and what is held, for the operators."""
+        known = {box_id: box.state.name.lower() for box_id, box in self.known.items()}
+        reported = {box_id: box.state.name.lower() for box_id, box in self._reported.items()}
         return {
             "revision": self.revision,
-            "heard_s_ago": round(now - self._heard, 1),
+            "heard_s_ago": round(now - self._last_report, 1),
             "held": self.held,
             "boxes": [
                 {
-                    "id": number,
+                    "id": box_id,
                     "address": f"{box.address[0]}:{box.address[1]}",
-                    "state": believed[number],
-                    "source_says": said.get(number, "gone"),
+                    "state": known[box_id],
+                    "source_says": reported.get(box_id, "gone"),
                 }
-                for number, box in self.known.items()
+                for box_id, box in self.known.items()
             ],
-            "left_out": sorted(number for number in self._said if number not in self.known),
+            "left_out": sorted(box_id for box_id in self._reported if box_id not in self.known),
         }
 
     # --- time -------------------------------------------------------------------------------------------
 
     def due(self) -> float | None:
-        """When `tick` is wanted."""
+        """Return when `tick` has something to do, or None."""
         times = [flaps.until for flaps in self._flaps.values() if flaps.until]
         if not self._silent:
-            times.append(self._heard + self.guards.silent)
+            times.append(self._last_report + self.guards.silent)
         return min(times, default=None)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: boxes that have been steady come back, and silence is told."""
+        """Release boxes that have been steady, and report a silent source."""
         actions: list[Action] = []
-        steady = [number for number, flaps in self._flaps.items() if 0 < flaps.until <= now]
-        for number in steady:
-            del self._flaps[number]
-            actions.append(Tell("steady", f"{number} is taken as the source says"))
+        steady = [box_id for box_id, flaps in self._flaps.items() if 0 < flaps.until <= now]
+        for box_id in steady:
+            del self._flaps[box_id]
+            actions.append(Tell("steady", f"{box_id} is steady again, and follows the source"))
         if steady:
-            actions += self._follow(now)
-        if not self._silent and now >= self._heard + self.guards.silent:
+            actions += self._update(now)
+        if not self._silent and now >= self._last_report + self.guards.silent:
             self._silent = True
             why = f"nothing for {self.guards.silent:g} s: revision {self.revision} stays"
             actions.append(Tell("silent", why))
@@ -172,77 +172,77 @@
 
     # --- guards -----------------------------------------------------------------------------------------
 
-    def _hear(self, now: float) -> list[Action]:
-        self._heard = now
+    def _note_alive(self, now: float) -> list[Action]:
+        self._last_report = now
         silent, self._silent = self._silent, False
-        return [Tell("silent", "it is heard again")] if silent else []
+        return [Tell("silent", "the source reports again")] if silent else []
 
-    def _note_flaps(self, now: float, said: dict[str, Box], numbers: Iterable[str]) -> None:
-        for number in dict.fromkeys(numbers):
-            if _serves(self._said.get(number)) == _serves(said.get(number)):
+    def _note_flaps(self, now: float, reported: dict[str, Box], box_ids: Iterable[str]) -> None:
+        for box_id in dict.fromkeys(box_ids):
+            if _serves(self._reported.get(box_id)) == _serves(reported.get(box_id)):
                 continue
-            flaps = self._flaps.setdefault(number, _Flaps())
+            flaps = self._flaps.setdefault(box_id, _Flapping())
             flaps.at.append(now)
             while flaps.at[0] <= now - self.guards.flap_span:
                 flaps.at.popleft()
             if len(flaps.at) > self.guards.flaps or flaps.until:
                 flaps.until = now + self.guards.flap_rest
-        old = now - self.guards.flap_span
-        for number in [n for n, flaps in self._flaps.items() if not flaps.until and flaps.at[-1] <= old]:
-            del self._flaps[number]
+        expired = now - self.guards.flap_span
+        for box_id in [n for n, flaps in self._flaps.items() if not flaps.until and flaps.at[-1] <= expired]:
+            del self._flaps[box_id]
 
     def _wanted(self, now: float) -> tuple[dict[str, Box], list[Action]]:
-        """What the engine should know by the source's word, less what is left out or left draining."""
+        """Return the reported list, without boxes left out, and with flapping boxes draining."""
         actions: list[Action] = []
         owners: dict[Address, str] = {}
-        for number, box in self.known.items():
-            said = self._said.get(number)
-            if said is not None and said.address == box.address:
-                owners[box.address] = number  # who had the address first keeps it
+        for box_id, box in self.known.items():
+            reported = self._reported.get(box_id)
+            if reported is not None and reported.address == box.address:
+                owners[box.address] = box_id  # the first owner of an address keeps it
         wanted: dict[str, Box] = {}
-        twice: set[str] = set()
-        for number, box in self._said.items():
-            owner = owners.setdefault(box.address, number)
-            if owner != number:
-                twice.add(number)
-                if number not in self._twice:
-                    why = f"{number} is left out: {box.address[0]}:{box.address[1]} is {owner}'s"
+        duplicates: set[str] = set()
+        for box_id, box in self._reported.items():
+            owner = owners.setdefault(box.address, box_id)
+            if owner != box_id:
+                duplicates.add(box_id)
+                if box_id not in self._duplicates:
+                    why = f"{box_id} is left out: {box.address[0]}:{box.address[1]} is {owner}'s"
                     actions.append(Tell("twice", why))
                 continue
-            flaps = self._flaps.get(number)
+            flaps = self._flaps.get(box_id)
             if flaps is not None and flaps.until > now and box.state is State.READY:
-                before = self.known.get(number)
+                before = self.known.get(box_id)
                 if before is None or before.state is State.READY:
-                    actions.append(Tell("flapping", f"{number} is left draining: it comes and goes"))
+                    actions.append(Tell("flapping", f"{box_id} is kept draining: it flaps"))
                 box = replace(box, state=State.DRAINING)
-            wanted[number] = box
-        self._twice = twice
+            wanted[box_id] = box
+        self._duplicates = duplicates
         return wanted, actions
 
-    def _follow(self, now: float, approved: bool = False) -> list[Action]:
+    def _update(self, now: float, approved: bool = False) -> list[Action]:
         wanted, actions = self._wanted(now)
-        serving = {number for number, box in self.known.items() if _serves(box)}
-        left = {number for number, box in wanted.items() if _serves(box)}
-        removed = serving - left
-        # One that has come back since is none: a rolling restart takes each away for a while.
+        serving = {box_id for box_id, box in self.known.items() if _serves(box)}
+        remaining = {box_id for box_id, box in wanted.items() if _serves(box)}
+        removed = serving - remaining
+        # A box that has come back does not count: a rolling restart removes each box for a while.
         self._removed = {n: at for n, at in self._removed.items() if at > now - self.guards.within}
-        lately = len(removed.union(self._removed) - left)
+        recent = len(removed.union(self._removed) - remaining)
         why = ""
-        if removed and not left:
+        if removed and not remaining:
             why = f"no box of {len(serving)} would be left"
-        elif removed and lately > max(1.0, self.guards.most_removed * (len(left) + lately)):
-            why = f"{lately} of {len(left) + lately} boxes would go within {self.guards.within:g} s"
+        elif removed and recent > max(1.0, self.guards.most_removed * (len(remaining) + recent)):
+            why = f"{recent} of {len(remaining) + recent} boxes would go within {self.guards.within:g} s"
         if why and not approved:
             if why != self.held:
                 actions.append(Tell("held", f"revision {self.revision}: {why}"))
             self.held = why
             return actions
         if self.held and not approved:
-            actions.append(Tell("released", f"revision {self.revision} takes away no more than it may"))
+            actions.append(Tell("released", f"revision {self.revision} removes no more than allowed"))
         self.held = ""
         self._removed |= dict.fromkeys(removed, now)
-        changed = tuple(box for number, box in wanted.items() if self.known.get(number) != box)
-        gone = tuple(number for number in self.known if number not in wanted)
+        changed = tuple(box for box_id, box in wanted.items() if self.known.get(box_id) != box)
+        gone = tuple(box_id for box_id in self.known if box_id not in wanted)
         self.known = wanted
         return [*actions, Publish(self.revision, changed, gone)] if changed or gone else actions
 
--- a/lynxreel/membership/document.py
+++ b/lynxreel/membership/document.py
@@ -1,10 +1,10 @@
-"""The list of boxes as a document: JSON, whole or not at all, every error with its place.
+"""The list of boxes as a JSON document. It is read as a whole or not at all; errors tell their place.
 
     {"revision": 41, "boxes": [{"id": "b1", "address": "10.0.0.5:7001", "state": "serving"}, ...]}
     sha256 3f1c...
 
-The second line is optional: the SHA-256, in hex, of all bytes before that line. With it a document that was
-half written over another one can be told even where the mixture can be read.
+The second line is optional: the SHA-256, in hex, of all bytes before that line. It reveals a document that
+was partly written over an older one even if the mixture is valid JSON.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from mothgap.interface import State
 
 STATES = {"serving": State.READY, "draining": State.DRAINING}
-MOST_BYTES = 16 * 1024 * 1024
-SUM = b"sha256 "
+MAX_BYTES = 16 * 1024 * 1024
+CHECKSUM_PREFIX = b"sha256 "
 Model = TypeVar("Model", bound=BaseModel)
 
 
 class DocumentError(ValueError):
-    """It can't be taken; the text says where it is wrong and why."""
+    """The document is invalid; the text says where and why."""
 
 
 class _Entry(BaseModel):
@@ -51,57 +51,57 @@
 
 
 def read(raw: bytes) -> tuple[int, list[Box]]:
-    """Revision and boxes. Raises DocumentError with the first thing that is wrong."""
-    if len(raw) > MOST_BYTES:
-        raise DocumentError(f"{len(raw)} bytes; {MOST_BYTES} at most")
-    body, _, last = raw.rstrip(b"\n").rpartition(b"\n")
-    if last.startswith(SUM):
-        if hashlib.sha256(body + b"\n").hexdigest().encode() != last[len(SUM) :].strip():
-            raise DocumentError("its sum does not fit: half written, or edited after the sum was made")
+    """Return revision and boxes. Raises DocumentError with the first error."""
+    if len(raw) > MAX_BYTES:
+        raise DocumentError(f"{len(raw)} bytes; {MAX_BYTES} at most")
+    body, _, checksum_line = raw.rstrip(b"\n").rpartition(b"\n")
+    if checksum_line.startswith(CHECKSUM_PREFIX):
+        if hashlib.sha256(body + b"\n").hexdigest().encode() != checksum_line[len(CHECKSUM_PREFIX) :].strip():
+            raise DocumentError("its sum does not match: half written, or edited after the sum was computed")
     else:
         body = raw
-    found = _checked(_Document, _object(body))
-    ids = [entry.id for entry in found.boxes]
+    document = _validate(_Document, _parse(body))
+    ids = [entry.id for entry in document.boxes]
     if len(set(ids)) < len(ids):
-        twice = next(number for number in ids if ids.count(number) > 1)
-        raise DocumentError(f"boxes: the id {twice!r} stands twice")
-    return found.revision, [_box(entry) for entry in found.boxes]
+        duplicate = next(box_id for box_id in ids if ids.count(box_id) > 1)
+        raise DocumentError(f"boxes: the id {duplicate!r} occurs twice")
+    return document.revision, [_to_box(entry) for entry in document.boxes]
 
 
-def read_box(number: str, raw: bytes) -> Box:
-    """One box from an object as in a document, its id known from elsewhere. Raises DocumentError."""
-    given = _object(raw)
-    if not isinstance(given, dict):
-        raise DocumentError("no JSON object")
-    if given.get("id", number) != number:
-        raise DocumentError(f"id: is {given['id']!r} under the name {number!r}")
-    return _box(_checked(_Entry, {**given, "id": number}))
+def read_box(box_id: str, raw: bytes) -> Box:
+    """Read one box from an object as in a document, where the id may be missing. Raises DocumentError."""
+    value = _parse(raw)
+    if not isinstance(value, dict):
+        raise DocumentError("not a JSON object")
+    if value.get("id", box_id) != box_id:
+        raise DocumentError(f"id: is {value['id']!r} under the name {box_id!r}")
+    return _to_box(_validate(_Entry, {**value, "id": box_id}))
 
 
 def write_box(box: Box) -> bytes:
-    """What `read_box` reads."""
-    return json.dumps({key: value for key, value in _entry(box).items() if key != "id"}).encode()
+    """Return the object that `read_box` reads, without the id."""
+    return json.dumps({key: value for key, value in _to_object(box).items() if key != "id"}).encode()
 
 
-def _object(raw: bytes) -> object:
+def _parse(raw: bytes) -> object:
     try:
-        return json.loads(raw, object_pairs_hook=_no_repeats)
+        return json.loads(raw, object_pairs_hook=_reject_duplicate_keys)
     except RecursionError:
-        raise DocumentError("nested without an end") from None
-    except ValueError as wrong:
-        raise DocumentError(f"no JSON, or half written: {wrong}") from None
+        raise DocumentError("nested too deep") from None
+    except ValueError as error:
+        raise DocumentError(f"no JSON, or half written: {error}") from None
 
 
-def _checked(model: type[Model], given: object) -> Model:
+def _validate(model: type[Model], value: object) -> Model:
     try:
-        return model.model_validate(given)
-    except ValidationError as wrong:
-        error = wrong.errors()[0]
-        place = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in error["loc"])
-        raise DocumentError(f"{place.lstrip('.')}: {error['msg']}") from None
+        return model.model_validate(value)
+    except ValidationError as error:
+        first = error.errors()[0]
+        place = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"])
+        raise DocumentError(f"{place.lstrip('.')}: {first['msg']}") from None
 
 
-def _box(entry: _Entry) -> Box:
+def _to_box(entry: _Entry) -> Box:
     return Box(
         entry.id,
         read_address(entry.address),
@@ -114,24 +114,24 @@
     )
 
 
-def _no_repeats(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    found = dict(pairs)
-    if len(found) < len(pairs):
-        raise ValueError("a key stands twice in one object")
-    return found
+def _reject_duplicate_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
+    document = dict(pairs)
+    if len(document) < len(pairs):
+        raise ValueError("a key occurs twice in one object")
+    return document
 
 
 def write(revision: int, boxes: list[Box]) -> bytes:
-    """A document with its sum."""
-    entries = [_entry(box) for box in boxes]
+    """Return a document with its sum."""
+    entries = [_to_object(box) for box in boxes]
     body = json.dumps({"revision": revision, "boxes": entries}).encode() + b"\n"
-    return body + SUM + hashlib.sha256(body).hexdigest().encode() + b"\n"
+    return body + CHECKSUM_PREFIX + hashlib.sha256(body).hexdigest().encode() + b"\n"
 
 
-def _entry(box: Box) -> dict[str, object]:
-    words = {state: word for word, state in STATES.items()}
+def _to_object(box: Box) -> dict[str, object]:
+    names = {state: name for name, state in STATES.items()}
     return {
-        "id": box.id, "address": f"{box.address[0]}:{box.address[1]}", "state": words[box.state],
+        "id": box.id, "address": f"{box.address[0]}:{box.address[1]}", "state": names[box.state],
         "kind": box.kind, "zone": box.zone, "cell": box.cell, "weight": box.weight,
         "started_at_ms": box.started // 1_000,
     }  # fmt: skip
--- a/lynxreel/membership/edit.py
+++ b/lynxreel/membership/edit.py
@@ -1,4 +1,4 @@
-"""What to write to etcd for a change of boxes: one transaction that holds only if nobody wrote in between."""
+"""Builds the etcd transaction for a change of boxes; it succeeds only if no key was changed meanwhile."""
 
 from __future__ import annotations
 
@@ -9,58 +9,64 @@
 from lynxreel.membership.core import Box
 from lynxreel.membership.document import DocumentError, read_box, write_box
 
-MOST = 128  # operations in a transaction, by etcd's default (--max-txn-ops)
+MAX_OPERATIONS = 128  # operations per transaction; etcd's default (--max-txn-ops)
 
 
 class EditError(ValueError):
-    """It can't be written; nothing has been."""
+    """The change can't be made; nothing has been written."""
 
 
-def drained(number: str, kv: pb.KeyValue | None) -> pb.TxnRequest | None:
-    """The box with its state draining, all else as it is; None where it is so already. Raises EditError."""
+def drained(box_id: str, kv: pb.KeyValue | None) -> pb.TxnRequest | None:
+    """Set a box to draining, and nothing else; None if it is already. Raises EditError."""
     if kv is None:
-        raise EditError(f"{number}: there is no such box")
+        raise EditError(f"{box_id}: there is no such box")
     try:
-        read_box(number, kv.value)
-    except DocumentError as wrong:
-        raise EditError(f"{number}: its value can't be read: {wrong}; put it anew") from None
+        read_box(box_id, kv.value)
+    except DocumentError as error:
+        raise EditError(f"{box_id}: its value can't be read: {error}; put it anew") from None
     value = json.loads(kv.value)
     if value.get("state") == "draining":
         return None
     return _transaction([kv], [], [_put(kv.key, json.dumps({**value, "state": "draining"}).encode(), kv)])
 
 
-def replaced(under: bytes, found: Iterable[pb.KeyValue], boxes: list[Box]) -> pb.TxnRequest | None:
-    """What makes `found`, the keys under a prefix, these boxes; None where they are. Raises EditError."""
-    held = {kv.key: kv for kv in found}
-    wanted = {under + box.id.encode(): write_box(box) for box in boxes}
-    same = {key for key, kv in held.items() if key in wanted and _same(key[len(under) :], kv, wanted[key])}
-    touched = [kv for key, kv in held.items() if key not in same]
-    new = [key for key in wanted if key not in held]
-    operations = [_put(key, value, held.get(key)) for key, value in wanted.items() if key not in same]
-    for key in held:
+def replaced(prefix: bytes, found: Iterable[pb.KeyValue], boxes: list[Box]) -> pb.TxnRequest | None:
+    """Replace `found`, the keys under a prefix, by these boxes; None if they are equal. Raises EditError."""
+    existing = {kv.key: kv for kv in found}
+    wanted = {prefix + box.id.encode(): write_box(box) for box in boxes}
+    unchanged = {
+        key for key, kv in existing.items() if key in wanted and _same(key[len(prefix) :], kv, wanted[key])
+    }
+    changed = [kv for key, kv in existing.items() if key not in unchanged]
+    new = [key for key in wanted if key not in existing]
+    operations = [
+        _put(key, value, existing.get(key)) for key, value in wanted.items() if key not in unchanged
+    ]
+    for key in existing:
         if key not in wanted:
             operations.append(pb.RequestOp(request_delete_range=pb.DeleteRangeRequest(key=key)))
-    if len(operations) > MOST:
-        raise EditError(f"{len(operations)} boxes would change; etcd takes {MOST} in one transaction")
-    return _transaction(touched, new, operations) if operations else None
+    if len(operations) > MAX_OPERATIONS:
+        raise EditError(
+            f"{len(operations)} boxes would change; etcd takes {MAX_OPERATIONS} in one transaction"
+        )
+    return _transaction(changed, new, operations) if operations else None
 
 
-def _same(number: bytes, kv: pb.KeyValue, value: bytes) -> bool:
+def _same(box_id: bytes, kv: pb.KeyValue, value: bytes) -> bool:
     try:
-        return write_box(read_box(number.decode("utf-8", "replace"), kv.value)) == value
+        return write_box(read_box(box_id.decode("utf-8", "replace"), kv.value)) == value
     except DocumentError:
         return False
 
 
-def _put(key: bytes, value: bytes, before: pb.KeyValue | None) -> pb.RequestOp:
-    return pb.RequestOp(request_put=pb.PutRequest(key=key, value=value, ignore_lease=before is not None))
+def _put(key: bytes, value: bytes, previous: pb.KeyValue | None) -> pb.RequestOp:
+    return pb.RequestOp(request_put=pb.PutRequest(key=key, value=value, ignore_lease=previous is not None))
 
 
 def _transaction(
-    held: Iterable[pb.KeyValue], new: Iterable[bytes], operations: list[pb.RequestOp]
+    expected: Iterable[pb.KeyValue], new: Iterable[bytes], operations: list[pb.RequestOp]
 ) -> pb.TxnRequest:
-    compare = [pb.Compare(key=kv.key, target=pb.Compare.MOD, mod_revision=kv.mod_revision) for kv in held] + [
-        pb.Compare(key=key, target=pb.Compare.MOD, mod_revision=0) for key in new
-    ]
+    compare = [
+        pb.Compare(key=kv.key, target=pb.Compare.MOD, mod_revision=kv.mod_revision) for kv in expected
+    ] + [pb.Compare(key=key, target=pb.Compare.MOD, mod_revision=0) for key in new]
     return pb.TxnRequest(compare=compare, success=operations)
--- a/lynxreel/membership/keys.py
+++ b/lynxreel/membership/keys.py
@@ -1,10 +1,10 @@
-"""What keys under a prefix mean: boxes and operator settings; without I/O.
+"""Interprets the keys under an etcd prefix: boxes and operator settings. No I/O.
 
     PREFIX boxes/ID               one box: an object as in a document of boxes, without its id
     PREFIX settings/limits        the table `limits` of the operator file, as JSON
     PREFIX settings/classes/NAME  one class, without its name; likewise settings/plans/NAME
 
-A box whose value can't be read is left out, and told; the others are taken.
+A box whose value can't be read is left out and reported in `Keys.bad`; the others are used.
 """
 
 from __future__ import annotations
@@ -21,74 +21,77 @@
 
 @dataclass(frozen=True)
 class Unreadable:
-    """A value that can't be taken, and why."""
+    """A value that can't be read, and why."""
 
     why: str
 
 
 @dataclass
 class Keys:
-    """All that is known under one prefix; keys are told without it."""
+    """What is known under one prefix; keys come without the prefix."""
 
     settings: dict[str, bytes] = field(default_factory=dict)
-    bad: dict[str, str] = field(default_factory=dict)  # boxes that are left out, and why
-    leases: dict[str, int] = field(default_factory=dict)  # of boxes that are held by one
-    settings_revision: int = 0  # of their last change
+    bad: dict[str, str] = field(default_factory=dict)  # ids of boxes that are left out, and why
+    leases: dict[str, int] = field(default_factory=dict)  # lease ids, by box, for keys that have one
+    settings_revision: int = 0  # of the last change of settings
 
     @staticmethod
     def parse(key: str, value: bytes) -> object:
-        """What a value means: a box, a settings' text, None for a key that means nothing, or Unreadable."""
+        """Interpret a value: a Box, the bytes of settings, Unreadable, or None for an unknown key."""
         if key.startswith(SETTINGS):
             return value
-        number = key.removeprefix(BOXES)
-        if number == key:
+        box_id = key.removeprefix(BOXES)
+        if box_id == key:
             return None
         try:
-            return read_box(number, value)
-        except DocumentError as wrong:
-            return Unreadable(str(wrong))
+            return read_box(box_id, value)
+        except DocumentError as error:
+            return Unreadable(str(error))
 
     def whole(self, revision: int, entries: Iterable[Entry]) -> tuple[list[Box], bool]:
-        """All there is: the boxes, and whether settings are not what they were."""
-        before, self.settings = self.settings, {}
+        """Process a full list; return the boxes, and whether settings changed."""
+        previous, self.settings = self.settings, {}
         self.bad, self.leases = {}, {}
         boxes = []
         for entry in entries:
-            box = self._take(entry)
+            box = self._process(entry)
             boxes += [box] if box is not None else []
-        if before != self.settings:
+        if previous != self.settings:
             self.settings_revision = revision
-        return boxes, before != self.settings
+        return boxes, previous != self.settings
 
     def change(self, changes: Iterable[Change]) -> tuple[list[Box], list[str], bool]:
-        """Boxes put, ids gone, and whether settings changed: by what each is in the end."""
+        """Process changes, where the last one of each key counts.
+
+        Returns boxes put, ids deleted, and whether settings changed.
+        """
         put: dict[str, Box] = {}
-        gone: dict[str, None] = {}
+        deleted: dict[str, None] = {}
         settings = False
         for change in changes:
-            number = change.key.removeprefix(BOXES)
+            box_id = change.key.removeprefix(BOXES)
             if change.key.startswith(SETTINGS):
                 settings, self.settings_revision = True, change.revision
                 self.settings.pop(change.key, None)
-            elif number != change.key:
-                self.bad.pop(number, None)
-                self.leases.pop(number, None)
-                put.pop(number, None)
-                gone[number] = None
-            box = self._take(change.entry) if change.entry is not None else None
+            elif box_id != change.key:
+                self.bad.pop(box_id, None)
+                self.leases.pop(box_id, None)
+                put.pop(box_id, None)
+                deleted[box_id] = None
+            box = self._process(change.entry) if change.entry is not None else None
             if box is not None:
-                gone.pop(number)
-                put[number] = box
-        return list(put.values()), list(gone), settings
+                deleted.pop(box_id)
+                put[box_id] = box
+        return list(put.values()), list(deleted), settings
 
-    def _take(self, entry: Entry) -> Box | None:
-        number = entry.key.removeprefix(BOXES)
+    def _process(self, entry: Entry) -> Box | None:
+        box_id = entry.key.removeprefix(BOXES)
         match entry.value:
             case Unreadable(why=why):
-                self.bad[number] = why
+                self.bad[box_id] = why
             case Box() as box:
                 if entry.lease:
-                    self.leases[number] = entry.lease
+                    self.leases[box_id] = entry.lease
                 return box
             case bytes() as text:
                 self.settings[entry.key] = text
--- a/lynxreel/sources/__init__.py
+++ b/lynxreel/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of servers comes from."""
+"""Sources of the list of boxes: the discovery service, a file, and etcd."""
--- a/lynxreel/sources/files.py
+++ b/lynxreel/sources/files.py
@@ -1,8 +1,8 @@
-"""The list of boxes from a watched file: a new version is taken whole or not at all.
+"""The list of boxes from a watched file: a new version is applied as a whole or not at all.
 
-Changes are told by inotify (watchfiles) on the file's folder, since a file that is renamed over, or a symlink
-that is swapped, is another file; and it is looked at every so often, for file systems that tell nothing. A
-version is read only when it has been still for a moment; one that can't be taken leaves the old one in place.
+inotify (watchfiles) reports changes in the file's folder: a file that is replaced by a rename, or through a
+symlink, is another file. The file is also polled, for file systems that report no changes. A version is read
+only after it has not changed for a moment; if it is invalid, the old list stays in force.
 """
 
 from __future__ import annotations
@@ -17,118 +17,122 @@
 
 from lynxreel.log import log
 from lynxreel.membership.core import Action, Guards, Membership, Publish, Tell
-from lynxreel.membership.document import MOST_BYTES, DocumentError, read
+from lynxreel.membership.document import MAX_BYTES, DocumentError, read
 
-Mark = tuple[int, int, int, int]  # device, inode, size, time of change: another version has another
+Mark = tuple[int, int, int, int]  # device, inode, size, modification time; differs between versions
 
 
 @dataclass(frozen=True)
 class FileList:
-    """Which file, and what it may not do without a second word."""
+    """The file, and the limits on changes that need no approval."""
 
     path: Path
     guards: Guards = Guards()
 
     def source(self, publish: Callable[[Publish], None], loop: asyncio.AbstractEventLoop) -> WatchedFile:
-        """Begin to follow it."""
+        """Start to watch the file."""
         return WatchedFile(self, publish, loop)
 
 
 class WatchedFile:
-    """Feeds a Membership from a file, and passes on what it publishes."""
+    """Feeds a `Membership` from a file, and passes on what it publishes."""
 
     def __init__(
         self,
-        listed: FileList,
+        file_list: FileList,
         publish: Callable[[Publish], None],
         loop: asyncio.AbstractEventLoop,
         quiet: float = 0.1,
-        look: float = 2.0,
+        poll_interval: float = 2.0,
     ) -> None:
-        """`quiet`: seconds without a change before a version is read; `look`: between looks of its own."""
-        self.refused = ""  # why the version that lies there was not taken
-        self.told = asyncio.Event()  # a version has been taken
-        self._path, self._publish = listed.path, publish
-        self.membership = Membership(listed.guards, loop.time())
-        self._loop, self._quiet, self._look = loop, quiet, look
-        self._mark: Mark | None = None  # of the version that was judged last
+        """`quiet`: seconds without a change before a version is read; `poll_interval`: in seconds."""
+        self.refused = ""  # why the present version was rejected; empty if it was not
+        self.told = asyncio.Event()  # set once a version has been applied
+        self._path, self._publish = file_list.path, publish
+        self.membership = Membership(file_list.guards, loop.time())
+        self._loop, self._quiet, self._poll_interval = loop, quiet, poll_interval
+        self._last_mark: Mark | None = None  # of the version that was read last
         self._changed = asyncio.Event()
-        self._tasks = [loop.create_task(self._watch()), loop.create_task(self._keep())]
+        self._tasks = [loop.create_task(self._watch()), loop.create_task(self._run())]
 
     async def _watch(self) -> None:
-        """Be told of changes; where that is not to be had, the looks go on alone."""
+        """Wait for reported changes. Where they are not available, only polling remains."""
         while True:
             try:
                 async for _ in awatch(self._path.parent, recursive=False, debounce=50, step=20):
                     self._changed.set()
-            except (OSError, RuntimeError) as wrong:
-                log(f"{self._path.parent}: changes are not told, only looked for: {wrong}")
-            await asyncio.sleep(self._look)
+            except (OSError, RuntimeError) as error:
+                log(f"{self._path.parent}: changes are not reported, only polled: {error}")
+            await asyncio.sleep(self._poll_interval)
 
-    async def _keep(self) -> None:
+    async def _run(self) -> None:
         while True:
             self._changed.clear()
-            await self._settle()
-            self._do(self.membership.tick(self._loop.time()))
+            await self._read_when_stable()
+            self._perform(self.membership.tick(self._loop.time()))
             due = self.membership.due()
-            wait = self._look if due is None else min(self._look, max(0.0, due - self._loop.time()))
+            wait = (
+                self._poll_interval
+                if due is None
+                else min(self._poll_interval, max(0.0, due - self._loop.time()))
+            )
             try:
                 async with asyncio.timeout(wait):
                     await self._changed.wait()
             except TimeoutError:
                 pass
 
-    async def _settle(self) -> None:
-        """Read the version that lies there once it has been still, unless it has been judged before."""
-        mark = self._see()
-        while mark is not None and mark != self._mark:
+    async def _read_when_stable(self) -> None:
+        """Read the present version once it is stable, unless it has been read before."""
+        mark = self._stat_mark()
+        while mark is not None and mark != self._last_mark:
             await asyncio.sleep(self._quiet)
-            before, mark = mark, self._see()
-            if mark != before or mark is None:
+            previous, mark = mark, self._stat_mark()
+            if mark != previous or mark is None:
                 continue
             try:
                 raw = await self._loop.run_in_executor(None, self._read)
-            except OSError as wrong:
-                self._refuse(str(wrong))
+            except OSError as error:
+                self._reject(str(error))
                 return
-            if self._see() != mark:  # written to while it was read
-                mark = self._see()
+            if self._stat_mark() != mark:  # changed while it was read
+                mark = self._stat_mark()
                 continue
-            self._mark = mark
-            self._take(raw)
+            self._last_mark = mark
+            self._apply(raw)
         if mark is None:
-            self._refuse("it is not there")
+            self._reject("it is not there")
         else:
-            self._do(self.membership.heard(self._loop.time()))
+            self._perform(self.membership.heard(self._loop.time()))
 
     def _read(self) -> bytes:
-        """In a thread: a network file system may take its time."""
+        """Read the file; runs in a thread, as a network file system may be slow."""
         with open(self._path, "rb") as file:
-            return file.read(MOST_BYTES + 1)
+            return file.read(MAX_BYTES + 1)
 
-    def _see(self) -> Mark | None:
+    def _stat_mark(self) -> Mark | None:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns
+        return status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns
 
-    def _take(self, raw: bytes) -> None:
+    def _apply(self, raw: bytes) -> None:
         try:
             revision, boxes = read(raw)
-        except DocumentError as wrong:
-            self._refuse(str(wrong))
+        except DocumentError as error:
+            self._reject(str(error))
             return
         self.refused = ""
-        self._do(self.membership.whole(self._loop.time(), revision, boxes))
+        self._perform(self.membership.whole(self._loop.time(), revision, boxes))
         self.told.set()
 
-    def _refuse(self, why: str) -> None:
+    def _reject(self, why: str) -> None:
         if why != self.refused:
             self.refused = why
             log(f"{self._path}: not taken, the old list stays: {why}")
 
-    def _do(self, actions: list[Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Tell):
                 log(f"boxes: {action.guard}: {action.text}")
@@ -136,14 +140,14 @@
                 self._publish(action)
 
     def approve(self) -> None:
-        """The operator's second word."""
-        self._do(self.membership.approve(self._loop.time()))
+        """Apply the change that is held back for approval."""
+        self._perform(self.membership.approve(self._loop.time()))
 
     def view(self) -> dict[str, object]:
-        """What the source adds to what is believed, for the operators."""
+        """Return the state of the source, for the operators."""
         return {"source": "file", "refused": self.refused}
 
     def close(self) -> None:
-        """The end."""
+        """Stop watching."""
         for task in self._tasks:
             task.cancel()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on a loopback socket: what is taken, how it resumes, and when it is dead."""
+"""Tests of watches on discovery over loopback sockets: what is accepted, how they resume and time out."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lynxreel.sources import platform as module
+from lynxreel.sources import platform
 from lynxreel.protocol.address import Address
 from lynxreel.sources import freshness
 from lynxreel.sources.freshness import Terms
@@ -17,7 +17,7 @@
 from tests.net import LOCAL, NAMES, Peer, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-Told = asyncio.Queue[tuple[Members, list[tuple[Member, Address]]]]
+Changes = asyncio.Queue[tuple[Members, list[tuple[Member, Address]]]]
 
 
 def line(generation: int, reset: bool = False, **fields: Any) -> bytes:
@@ -36,45 +36,49 @@
 AGENT, SERVICE = Terms(agent=True, fleet=230), Terms(agent=False)
 
 
-def play(scenario: Callable[[Peer, Told, Discovery], Awaitable[None]], terms: Terms = SERVICE) -> None:
+def run_scenario(
+    scenario: Callable[[Peer, Changes, Discovery], Awaitable[None]], terms: Terms = SERVICE
+) -> None:
     async def start() -> None:
-        told: Told = asyncio.Queue()
+        changes: Changes = asyncio.Queue()
         async with Peer() as peer:
             loop = asyncio.get_running_loop()
-            place, chance = (LOCAL, peer.port), random.Random(7)
-            watch = Discovery(place, 41, NAMES, lambda *news: told.put_nowait(news), loop, terms, chance)
-            await scenario(peer, told, watch)
-            watch.close()
+            address, rng = (LOCAL, peer.port), random.Random(7)
+            discovery = Discovery(
+                address, 41, NAMES, lambda *news: changes.put_nowait(news), loop, terms, rng
+            )
+            await scenario(peer, changes, discovery)
+            discovery.close()
 
     run(start)
 
 
-def test_news_comes_in_lines_however_they_are_cut() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_changes_are_read_from_lines_however_they_are_split() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         data = await peer.answer(HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
         text = b"\n" + line(42) + b"\n" + line(43, lifecycle="DRAINING")
         for part in (text[:50], text[50:]):
             peer.writers[0].write(chunk(part))
-        members, lines = await told.get()
+        members, entries = await changes.get()
         member = Member("s-1", State.READY, kind=1, zone=0, cell=3, started_at=5_000, weight=1.0)
         assert members == Members(ListKind.CHANGES, 42, (member,))
-        assert lines == [(member, (LOCAL, 81))]
-        assert (await told.get())[0].members[0].state is State.DRAINING
+        assert entries == [(member, (LOCAL, 81))]
+        assert (await changes.get())[0].members[0].state is State.DRAINING
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_watch_that_ends_is_resumed_from_where_it_was_and_a_reset_replaces_the_list() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_a_watch_that_ends_is_resumed_from_its_version_and_a_reset_replaces_the_list() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
+        await changes.get()
         peer.writers[0].transport.abort()
         assert (await peer.hear())[1] == b""
         assert b"from=77 " in await peer.answer(HEAD + chunk(line(90, reset=True)))
-        assert (await told.get())[0].kind is ListKind.FULL
+        assert (await changes.get())[0].kind is ListKind.FULL
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -89,30 +93,30 @@
         HEAD + b"0\r\n\r\n",
     ],
 )
-def test_what_is_no_watch_is_left_and_another_is_opened(reply: bytes) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_after_an_invalid_response_another_watch_is_opened(reply: bytes) -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(reply)
         while (heard := (await peer.hear())[1]) == b"":
             pass
         assert b"from=41 " in heard
-        assert told.empty()
+        assert changes.empty()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_watch_stays_open_until_another_tells_something(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_a_silent_watch_stays_open_until_another_receives_a_line(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(42)))
-        await told.get()
-        assert b"from=42 " in (await peer.hear())[1]  # beside it, as nothing has come for so long
+        await changes.get()
+        assert b"from=42 " in (await peer.hear())[1]  # the first has been silent for too long
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")))
-        assert (await told.get())[0].members[0].state is State.DRAINING
+        assert (await changes.get())[0].members[0].state is State.DRAINING
         peer.writers[1].write(HEAD + chunk(b"\n"))
-        assert (await peer.hear())[1] == b""  # the first one is closed now
+        assert (await peer.hear())[1] == b""  # the first watch is closed now
 
-    assert freshness.QUIET > 2.0  # the time between two heartbeats
-    monkeypatch.setattr(freshness, "QUIET", 0.05)
-    play(scenario, AGENT)
+    assert freshness.SILENCE_TIMEOUT > 2.0  # seconds between two heartbeats
+    monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
+    run_scenario(scenario, AGENT)
 
 
 @pytest.mark.parametrize(
@@ -129,122 +133,126 @@
         {"startedAtMs": float("inf")},
     ],
 )
-def test_an_entry_that_cannot_be_read_is_left_out_and_told(
+def test_an_entry_that_cannot_be_read_is_left_out_and_logged(
     fields: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards the list: the watch would end at that line, now and each time it resumes from the version before.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+    # Otherwise the watch would end at that line, also each time it resumes from the version before it.
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         text = json.loads(line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
         await peer.answer(HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(line(45)))
         for _ in range(2):
-            assert [member.server for member in (await told.get())[0].members] == ["s-1"]
-        assert watch.version == 45
+            assert [member.server for member in (await changes.get())[0].members] == ["s-1"]
+        assert discovery.version == 45
 
-    said: list[str] = []  # not from standard error, where only so many lines go in a second
-    monkeypatch.setattr(module, "log", said.append)
-    play(scenario)
-    assert ["can't be read" in text for text in said] == [True, True]
+    logged: list[str] = []  # patched, as the log on standard error is rate-limited
+    monkeypatch.setattr(platform, "log", logged.append)
+    run_scenario(scenario)
+    assert ["can't be read" in text for text in logged] == [True, True]
 
 
-async def beside(peer: Peer) -> None:
-    """The first watch has told version 42 and is silent; another is open beside it."""
+async def open_second_watch(peer: Peer) -> None:
+    """Wait until the first watch has received version 42 and is silent, and another is open beside it."""
     await peer.answer(HEAD + chunk(line(42)))
     while len(peer.writers) < 2:
         await peer.hear()
 
 
-def test_changes_that_another_watch_has_told_are_not_told_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await beside(peer)
+def test_changes_that_another_watch_has_received_are_not_reported_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+        await open_second_watch(peer)
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")) + chunk(line(44)))
-        assert [(await told.get())[0].version for _ in range(3)] == [42, 43, 44]
-        # The other one goes on from 42: the drain, which has been taken back since, comes late there.
+        assert [(await changes.get())[0].version for _ in range(3)] == [42, 43, 44]
+        # The second watch resumes from 42: there the drain arrives late, after it has been taken back.
         peer.writers[1].write(HEAD + chunk(line(43, lifecycle="DRAINING")) + chunk(line(45)))
-        assert (await told.get())[0].version == 45
+        assert (await changes.get())[0].version == 45
 
-    monkeypatch.setattr(freshness, "QUIET", 0.05)
-    play(scenario, AGENT)
+    monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
+    run_scenario(scenario, AGENT)
 
 
-def test_a_service_that_counts_anew_is_asked_from_the_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_after_version_numbers_restart_the_list_is_requested_from_version_0(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)) + chunk(line(3, lifecycle="DRAINING")))
         while (heard := (await peer.hear())[1]) == b"":
             pass
         assert b"from=0 " in heard
         peer.writers[-1].write(HEAD + chunk(line(3, lifecycle="DRAINING")))
-        assert [(await told.get())[0].version for _ in range(2)] == [77, 3]
-        assert watch.version == 3
+        assert [(await changes.get())[0].version for _ in range(2)] == [77, 3]
+        assert discovery.version == 3
 
-    play(scenario, AGENT)
+    run_scenario(scenario, AGENT)
 
 
-def test_a_service_that_counts_anew_is_asked_from_the_beginning_though_an_old_watch_tells_on(
+def test_after_version_numbers_restart_on_an_old_watch_the_list_is_requested_from_version_0(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await beside(peer)
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+        await open_second_watch(peer)
         peer.writers[0].write(chunk(line(3)))
-        while (await peer.hear())[1]:  # the first watch has been left
+        while (await peer.hear())[1]:  # until the first watch is closed
             pass
         peer.writers[1].write(HEAD + chunk(line(44)))
-        assert [(await told.get())[0].version for _ in range(2)] == [42, 44]
+        assert [(await changes.get())[0].version for _ in range(2)] == [42, 44]
         peer.writers[1].close()
         while b"from=0 " not in (await peer.hear())[1]:
             pass
 
-    monkeypatch.setattr(freshness, "QUIET", 0.05)
-    play(scenario, AGENT)
+    monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
+    run_scenario(scenario, AGENT)
 
 
-def test_a_whole_list_that_is_older_than_what_another_watch_has_told_is_asked_for_again(
+def test_a_full_list_older_than_what_another_watch_has_received_is_requested_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await beside(peer)
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+        await open_second_watch(peer)
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")))
-        assert [(await told.get())[0].version for _ in range(2)] == [42, 43]
-        peer.writers[1].write(HEAD + chunk(line(42, reset=True)))  # the drain is not in it
+        assert [(await changes.get())[0].version for _ in range(2)] == [42, 43]
+        peer.writers[1].write(HEAD + chunk(line(42, reset=True)))  # does not contain the drain
         while b"from=43 " not in (await peer.hear())[1]:
             pass
-        assert told.empty()
+        assert changes.empty()
         peer.writers[-1].write(HEAD + chunk(line(43, reset=True, lifecycle="DRAINING")))
-        assert (await told.get())[0].kind is ListKind.FULL
+        assert (await changes.get())[0].kind is ListKind.FULL
 
-    monkeypatch.setattr(freshness, "QUIET", 0.05)
-    play(scenario, AGENT)
+    monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
+    run_scenario(scenario, AGENT)
 
 
-def test_a_move_calls_the_new_place_at_once_though_a_call_to_the_old_one_waits(
+def test_a_new_address_is_called_at_once_though_a_request_to_the_old_one_is_pending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await beside(peer)
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+        await open_second_watch(peer)
         async with Peer() as other:
-            watch.move((LOCAL, other.port))
+            discovery.move((LOCAL, other.port))
             assert b"from=42 " in await asyncio.wait_for(other.answer(HEAD + chunk(line(43))), 2)
-            versions = [(await told.get())[0].version for _ in range(2)]
+            versions = [(await changes.get())[0].version for _ in range(2)]
             assert versions == [42, 43]
-            watch.close()
+            discovery.close()
 
-    monkeypatch.setattr(freshness, "QUIET", 0.05)
-    monkeypatch.setattr(freshness, "SPREAD", 0.0)
-    play(scenario)  # a service: a call may wait there for 5 s
+    monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
+    monkeypatch.setattr(freshness, "RECONNECT_SPREAD", 0.0)
+    run_scenario(scenario)  # a service: a request may wait for 5 s there
 
 
-def test_an_agent_that_answers_with_a_head_alone_is_called_again_beside_that() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_an_agent_that_sends_only_a_response_head_gets_a_second_request() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD)
-        assert b"from=41 " in (await peer.hear())[1]  # and not the end of the first one
+        assert b"from=41 " in (await peer.hear())[1]  # and not the end of the first watch
         peer.writers[0].write(chunk(line(42)))
-        assert (await told.get())[0].version == 42
+        assert (await changes.get())[0].version == 42
 
-    play(scenario, AGENT)
+    run_scenario(scenario, AGENT)
 
 
-def test_a_list_may_come_indented_and_be_cut_anywhere_and_be_longer_than_one_read() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_a_list_may_be_indented_split_anywhere_and_longer_than_one_read() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         entries = json.loads(line(42))["instances"] * 1_024
         whole = {"generation": 50, "reset": True, "instances": entries}
         text = json.dumps(whole, indent=3).replace("\n", "\r\n").encode()
@@ -252,44 +260,44 @@
         await peer.answer(HEAD + chunk(text[:7]))
         for at in range(7, len(text), 4_001):
             peer.writers[0].write(chunk(text[at : at + 4_001]))
-        members, _ = await told.get()
+        members, _ = await changes.get()
         assert (members.kind, members.version, len(members.members)) == (ListKind.FULL, 50, 1_024)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_one_that_is_gone_needs_no_address() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_a_deleted_box_needs_no_address() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(44, lifecycle="DELETED", hostPort="")))
-        assert (await told.get())[0].members[0].state is State.GONE
+        assert (await changes.get())[0].members[0].state is State.GONE
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_move_watches_elsewhere_from_the_version_at_hand() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_a_new_address_is_watched_from_the_known_version() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
+        await changes.get()
         async with Peer() as other:
-            watch.move((LOCAL, other.port))
-            watch.move((LOCAL, other.port))
+            discovery.move((LOCAL, other.port))
+            discovery.move((LOCAL, other.port))
             assert b"from=77 " in await other.answer(HEAD + chunk(line(78)))
-            assert (await told.get())[0].version == 78
+            assert (await changes.get())[0].version == 78
             assert (await peer.hear())[1] == b""
             assert len(other.writers) == 1
-            watch.close()
+            discovery.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_until_the_new_address_answers_the_old_watch_tells_on() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+def test_the_old_watch_is_used_until_the_new_address_answers() -> None:
+    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
-        watch.move((LOCAL, 1))  # refused
+        await changes.get()
+        discovery.move((LOCAL, 1))  # connection refused
         peer.writers[0].write(chunk(line(78)))
-        assert (await told.get())[0].version == 78
-        watch.move((LOCAL, peer.port))
+        assert (await changes.get())[0].version == 78
+        discovery.move((LOCAL, peer.port))
         assert b"from=78 " in await peer.answer(HEAD)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The boxes as a source tells them: what is passed on, what is held back, and until when."""
+"""Tests of the list of boxes as a source reports it: what is published, what is held, and until when."""
 
 from dataclasses import replace
 
@@ -21,8 +21,8 @@
 
 def started(count: int = 6) -> Membership:
     membership = Membership(GUARDS, 0.0)
-    (told,) = membership.whole(0.0, 1, boxes(count))
-    assert told == Publish(1, tuple(boxes(count)), ())
+    (publish,) = membership.whole(0.0, 1, boxes(count))
+    assert publish == Publish(1, tuple(boxes(count)), ())
     return membership
 
 
@@ -31,25 +31,25 @@
 
 
 def published(actions: list[Action]) -> tuple[list[str], list[str]]:
-    """Ids that changed, and that are gone."""
+    """Return the ids that changed, and those that were removed."""
     found = [action for action in actions if isinstance(action, Publish)]
     return [b.id for p in found for b in p.changed], [number for p in found for number in p.gone]
 
 
-def test_a_change_passes_on_what_differs_and_an_old_one_nothing() -> None:
+def test_a_change_publishes_the_differences_and_an_old_one_nothing() -> None:
     membership = started()
     assert published(membership.change(1.0, 2, [box(1, State.DRAINING), box(2)], ["b3"])) == (["b1"], ["b3"])
     assert membership.change(2.0, 2, [box(1)], []) == []
     assert membership.change(2.0, 1, [], ["b2"]) == []
 
 
-def test_drained_deleted_and_put_back_elsewhere_in_one_change_is_one_box_at_its_new_address() -> None:
+def test_a_box_deleted_and_put_at_another_address_in_one_change_is_one_box_there() -> None:
     membership = started()
     actions = membership.change(1.0, 2, [box(1, port=7)], ["b1"])
     assert actions == [Publish(2, (box(1, port=7),), ())]
 
 
-def test_a_change_that_would_empty_the_pool_waits_for_a_second_word() -> None:
+def test_a_change_that_would_empty_the_pool_waits_for_approval() -> None:
     membership = started()
     actions = membership.whole(1.0, 2, [])
     assert guards(actions) == ["held"] and published(actions) == ([], [])
@@ -61,12 +61,12 @@
     assert membership.approve(3.0) == []
 
 
-def test_draining_all_is_as_much_as_taking_all_away() -> None:
+def test_draining_all_counts_like_removing_all() -> None:
     membership = started()
     assert guards(membership.whole(1.0, 2, [replace(b, state=State.DRAINING) for b in boxes(6)])) == ["held"]
 
 
-def test_what_is_held_is_followed_once_it_takes_away_less() -> None:
+def test_a_held_change_is_applied_once_it_removes_less() -> None:
     membership = started()
     membership.whole(1.0, 2, [])
     actions = membership.whole(2.0, 3, [*boxes(5), box(9)])
@@ -74,7 +74,7 @@
     assert published(actions) == (["b9"], ["b5"])
 
 
-def test_small_steps_come_to_the_same_bound_and_time_gives_it_back() -> None:
+def test_small_steps_add_up_to_the_limit_and_expire_with_time() -> None:
     membership = started()
     steps = [guards(membership.change(float(n), n + 2, [], [f"b{n}"])) for n in range(4)]
     assert steps == [[], [], [], ["held"]]
@@ -84,38 +84,38 @@
 
 def test_a_rolling_restart_is_never_held() -> None:
     core = Membership(GUARDS, 0.0)
-    everyone = boxes(12)
-    core.whole(0.0, 1, everyone)
-    for number, box in enumerate(everyone):
+    all_boxes = boxes(12)
+    core.whole(0.0, 1, all_boxes)
+    for number, box in enumerate(all_boxes):
         drained = core.change(number, 2 + 2 * number, [replace(box, state=State.DRAINING)], [])
         assert isinstance(drained[-1], Publish)
         core.change(number + 0.5, 3 + 2 * number, [box], [])
     assert core.held == ""
 
 
-def test_the_last_box_of_one_can_be_replaced_but_not_just_removed() -> None:
+def test_the_only_box_can_be_replaced_but_not_removed() -> None:
     membership = started(1)
     assert published(membership.whole(1.0, 2, [box(5)])) == (["b5"], ["b0"])
     assert guards(membership.whole(2.0, 3, [])) == ["held"]
 
 
-def test_an_address_under_two_ids_stays_the_first_ones_and_hides_no_other_box() -> None:
+def test_an_address_under_two_ids_stays_with_the_first_and_other_boxes_are_published() -> None:
     membership = started()
     actions = membership.change(1.0, 2, [Box("new", ("10.0.0.1", 1_002)), box(8)], [])
     assert guards(actions) == ["twice"] and published(actions) == (["b8"], [])
-    assert guards(membership.change(2.0, 3, [box(9)], [])) == []  # told once
+    assert guards(membership.change(2.0, 3, [box(9)], [])) == []  # logged once
     actions = membership.change(3.0, 4, [], ["b2"])
     assert published(actions) == (["new"], ["b2"])
 
 
-def test_a_box_that_comes_and_goes_is_left_draining_until_it_is_steady() -> None:
+def test_a_flapping_box_is_kept_draining_until_it_is_steady() -> None:
     membership = started()
     for step in range(5):
         state = State.DRAINING if step % 2 == 0 else State.READY
         actions = membership.change(1.0 + step, 2 + step, [box(1, state)], [])
     actions = membership.change(6.0, 7, [box(1)], [])
-    assert published(actions) == ([], [])  # it is draining, and stays so
-    assert membership.due() == 16.0  # its silence; then
+    assert published(actions) == ([], [])  # it was draining, and is kept so
+    assert membership.due() == 16.0  # the source counts as silent then
     membership.heard(30.0)
     assert membership.due() == 36.0
     actions = membership.tick(36.0)
@@ -124,7 +124,7 @@
     assert membership.known["b1"].state is State.READY
 
 
-def test_a_silent_source_changes_nothing_and_is_told_once() -> None:
+def test_a_silent_source_changes_nothing_and_is_logged_once() -> None:
     membership = started()
     membership.change(1.0, 2, [box(1, State.DRAINING)], [])
     assert guards(membership.tick(10.9)) == []
@@ -134,7 +134,7 @@
     assert guards(membership.heard(60.0)) == ["silent"]
 
 
-def test_a_source_that_was_restored_counts_as_it_stands() -> None:
+def test_the_list_of_a_restored_source_is_accepted() -> None:
     membership = started()
     membership.change(1.0, 8, [box(7)], [])
     actions = membership.whole(2.0, 3, boxes(6))
@@ -150,7 +150,7 @@
 
 
 @given(st.lists(CHANGE, max_size=30))
-def test_unapproved_the_pool_is_never_emptied_and_the_engine_knows_what_was_published(
+def test_without_approval_the_pool_is_never_emptied_and_published_changes_add_up_to_the_list(
     changes: list[tuple[list[tuple[int, State]], list[int], float]],
 ) -> None:
     membership, engine, now = started(), {b.id: b for b in boxes(6)}, 0.0
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -1,4 +1,4 @@
-"""The list of boxes from a file: torn writes, swaps, and files that take away too much."""
+"""Tests of the list of boxes from a file: partial writes, replaced files, and lists that remove too much."""
 
 import asyncio
 import contextlib
@@ -18,30 +18,30 @@
 from tests.fleet import Caller, fleet, log_of, run
 
 
-def some(count: int, revision: int = 0) -> list[Box]:
+def make_boxes(count: int, revision: int = 0) -> list[Box]:
     return [Box(f"b{n}", ("127.0.0.1", 7_000 + n), State.READY, cell=revision) for n in range(count)]
 
 
 # --- the document ---------------------------------------------------------------------------------------
 
 
-def test_a_document_comes_back_as_it_was_written_with_and_without_its_sum() -> None:
-    boxes = [*some(3), Box("d", ("10.0.0.1", 1), State.DRAINING, "m", "a", 2, 0.5, 5_000)]
+def test_a_document_is_read_as_it_was_written_with_and_without_its_sum() -> None:
+    boxes = [*make_boxes(3), Box("d", ("10.0.0.1", 1), State.DRAINING, "m", "a", 2, 0.5, 5_000)]
     whole = write(7, boxes)
     assert read(whole) == (7, boxes)
     assert read(whole.rsplit(b"sha256", 1)[0]) == (7, boxes)
 
 
-def test_no_cut_of_a_document_is_one() -> None:
-    whole = write(7, some(3))
+def test_no_truncated_document_is_valid() -> None:
+    whole = write(7, make_boxes(3))
     body = whole.rsplit(b"sha256", 1)[0]
     for end in range(len(body) - 1):
         with pytest.raises(DocumentError):
             read(body[:end])
 
 
-def test_a_mixture_of_two_versions_is_told_by_its_sum() -> None:
-    old, new = write(11, some(3, 1)), write(12, some(3, 2))
+def test_a_mixture_of_two_versions_is_detected_by_its_sum() -> None:
+    old, new = write(11, make_boxes(3, 1)), write(12, make_boxes(3, 2))
     assert len(old) == len(new)
     for cut in range(0, len(old), 7):
         mixed = new[:cut] + old[cut:]
@@ -51,20 +51,20 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         (b"", "no JSON, or half written"),
         (b"[]", "valid dictionary"),
         (b'{"revision": 1}', "boxes: Field required"),
-        (b'{"revision": 1, "revision": 2, "boxes": []}', "a key stands twice"),
+        (b'{"revision": 1, "revision": 2, "boxes": []}', "a key occurs twice"),
         (b'{"revision": 1, "boxes": [{"id": "a", "address": "x"}]}', r"boxes\[0\].address: .*no address"),
         (b'{"revision": 1, "boxes": [{"id": "a", "address": "x:1", "stat": 1}]}', r"boxes\[0\].stat: Extra"),
         (b'{"revision": 1, "boxes": [{"id": "a", "address": "x:1"}, {"id": "a", "address": "x:2"}]}', "'a'"),
         (b"[" * 100_000, "nested|half written"),
     ],
 )
-def test_what_can_not_be_taken_is_told_with_its_place(text: bytes, told: str) -> None:
-    with pytest.raises(DocumentError, match=told):
+def test_errors_of_an_invalid_document_tell_the_place(text: bytes, message: str) -> None:
+    with pytest.raises(DocumentError, match=message):
         read(text)
 
 
@@ -82,7 +82,7 @@
 
 
 def swapped_symlink(path: Path, data: bytes) -> None:
-    """As config maps are delivered: the file links into a folder that is itself a link, which is swapped."""
+    """As Kubernetes updates config maps: the file links into a linked folder, and that link is replaced."""
     folder = path.parent / f"..{random.getrandbits(60):x}"
     folder.mkdir()
     (folder / path.name).write_bytes(data)
@@ -94,25 +94,29 @@
         path.symlink_to(Path("..data") / path.name)
 
 
-@pytest.mark.parametrize("way", [in_place, renamed_over, swapped_symlink])
-def test_each_way_to_replace_a_file_is_noticed(tmp_path: Path, way: Callable[[Path, bytes], None]) -> None:
+@pytest.mark.parametrize("replace_file", [in_place, renamed_over, swapped_symlink])
+def test_each_way_to_replace_a_file_is_noticed(
+    tmp_path: Path, replace_file: Callable[[Path, bytes], None]
+) -> None:
     async def scenario() -> None:
-        path, heard = tmp_path / "boxes.json", asyncio.Queue[Publish]()
-        way(path, write(1, some(2)))
+        path, published = tmp_path / "boxes.json", asyncio.Queue[Publish]()
+        replace_file(path, write(1, make_boxes(2)))
         loop = asyncio.get_running_loop()
-        # It looks by itself only once in a minute: what is noticed here was told.
-        watched = WatchedFile(FileList(path), heard.put_nowait, loop, quiet=0.02, look=60.0)
-        assert (await heard.get()).revision == 1
-        await asyncio.sleep(0.3)  # until the watch is up
+        # Polling happens once in a minute only, so the changes noticed here come from inotify.
+        watched = WatchedFile(FileList(path), published.put_nowait, loop, quiet=0.02, poll_interval=60.0)
+        assert (await published.get()).revision == 1
+        await asyncio.sleep(0.3)  # until inotify is set up
         for revision in range(2, 6):
-            way(path, write(revision, some(2, revision)))
-            assert (await heard.get()).revision == revision
+            replace_file(path, write(revision, make_boxes(2, revision)))
+            assert (await published.get()).revision == revision
         watched.close()
 
     run(scenario)
 
 
-def test_where_no_change_is_told_it_is_looked_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_inotify_changes_are_found_by_polling(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def none(*_: object, **__: object) -> AsyncIterator[None]:
         await asyncio.Event().wait()
         yield
@@ -120,55 +124,55 @@
     monkeypatch.setattr("lynxreel.sources.files.awatch", none)
 
     async def scenario() -> None:
-        path, heard = tmp_path / "boxes.json", asyncio.Queue[Publish]()
+        path, published = tmp_path / "boxes.json", asyncio.Queue[Publish]()
         loop = asyncio.get_running_loop()
-        watched = WatchedFile(FileList(path), heard.put_nowait, loop, quiet=0.01, look=0.02)
+        watched = WatchedFile(FileList(path), published.put_nowait, loop, quiet=0.01, poll_interval=0.02)
         while not watched.refused:
             await asyncio.sleep(0.01)
         assert watched.refused == "it is not there"
         for revision in range(1, 4):
-            in_place(path, write(revision, some(2, revision)))
-            assert (await heard.get()).revision == revision
+            in_place(path, write(revision, make_boxes(2, revision)))
+            assert (await published.get()).revision == revision
         watched.close()
 
     run(scenario)
 
 
-def test_thousands_of_torn_writes_never_publish_a_part_of_a_list(tmp_path: Path) -> None:
-    """Each version has its own cell and as many boxes as its number tells; all that is published must fit."""
+def test_thousands_of_partial_writes_never_publish_a_partial_list(tmp_path: Path) -> None:
+    """The cell and the number of boxes depend on the version; each published list must match its version."""
 
     async def scenario() -> None:
         path, published = tmp_path / "boxes.json", list[Publish]()
-        draw, loop = random.Random(7), asyncio.get_running_loop()
+        rng, loop = random.Random(7), asyncio.get_running_loop()
         known: dict[str, Box] = {}
 
-        def take(news: Publish) -> None:
-            published.append(news)
-            for number in news.gone:
-                del known[number]
-            known.update((box.id, box) for box in news.changed)
-            assert {box.cell for box in known.values()} == {news.revision}
-            assert len(known) == 3 + news.revision % 5
+        def on_publish(update: Publish) -> None:
+            published.append(update)
+            for box_id in update.gone:
+                del known[box_id]
+            known.update((box.id, box) for box in update.changed)
+            assert {box.cell for box in known.values()} == {update.revision}
+            assert len(known) == 3 + update.revision % 5
 
         guards = Guards(most_removed=1.0, flaps=10_000)
-        watched = WatchedFile(FileList(path, guards), take, loop, quiet=0.004, look=0.01)
+        watched = WatchedFile(FileList(path, guards), on_publish, loop, quiet=0.004, poll_interval=0.01)
         for revision in range(1, 2_001):
-            whole = write(revision, some(3 + revision % 5, revision))
-            if draw.random() < 0.7:  # torn: a part now, perhaps the rest in a moment
-                cut = draw.randrange(len(whole))
-                with path.open("r+b" if path.exists() and draw.random() < 0.5 else "wb") as file:
+            whole = write(revision, make_boxes(3 + revision % 5, revision))
+            if rng.random() < 0.7:  # partial write: the rest follows in a moment, or never
+                cut = rng.randrange(len(whole))
+                with path.open("r+b" if path.exists() and rng.random() < 0.5 else "wb") as file:
                     file.write(whole[:cut])
                     file.flush()
-                    if draw.random() < 0.1:
-                        await asyncio.sleep(0.01)  # long enough to be taken for still
-                    if draw.random() < 0.5:
+                    if rng.random() < 0.1:
+                        await asyncio.sleep(0.01)  # long enough to count as stable
+                    if rng.random() < 0.5:
                         file.write(whole[cut:])
                         file.truncate()
             else:
                 in_place(path, whole)
-            if draw.random() < 0.2:
+            if rng.random() < 0.2:
                 await asyncio.sleep(0.005)
-        in_place(path, write(3_000, some(3, 3_000)))
+        in_place(path, write(3_000, make_boxes(3, 3_000)))
         while not published or published[-1].revision != 3_000:
             await asyncio.sleep(0.01)
         assert len(published) > 10
@@ -182,8 +186,8 @@
 
 
 @contextlib.asynccontextmanager
-async def by_file(folder: Path) -> AsyncIterator[tuple[Deployment, Path]]:
-    """Two gateways whose boxes come from a file."""
+async def gateways_with_file(folder: Path) -> AsyncIterator[tuple[Deployment, Path]]:
+    """Run two gateways whose boxes come from a file."""
     path = folder / "boxes.json"
 
     def edit(text: str) -> str:
@@ -213,17 +217,17 @@
     ]
 
 
-def test_a_drain_in_the_file_is_kept_by_all_and_a_file_that_empties_the_pool_is_not_taken(
+def test_a_drain_in_the_file_is_kept_by_all_and_a_file_that_empties_the_pool_is_not_applied(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
-        async with by_file(tmp_path) as (deployment, path):
-            play = asyncio.ensure_future(deployment.play(5.0))
+        async with gateways_with_file(tmp_path) as (deployment, path):
+            load = asyncio.ensure_future(deployment.play(5.0))
             drained = deployment.boxes[0]
             while not drained.came:
                 await asyncio.sleep(0.01)
             renamed_over(path, write(2, listed(deployment, draining=(0,))))
-            told = asyncio.get_running_loop().time()
+            announced_at = asyncio.get_running_loop().time()
             await asyncio.sleep(1.5)
             renamed_over(path, write(3, []))
             while any("held" not in log_of(deployment, number) for number in (0, 1)):
@@ -233,26 +237,24 @@
             assert "no box of 5 would be left" in capsys.readouterr().out
             served = deployment.ledger.total("served")
             await asyncio.sleep(0.5)
-            assert deployment.ledger.total("served") > served  # the old list goes on
+            assert deployment.ledger.total("served") > served  # the old list is still in force
             path.write_text('{"revision": 4, "boxes": [')
             while any("not taken, the old list stays" not in log_of(deployment, n) for n in (0, 1)):
                 await asyncio.sleep(0.02)
-            await play
+            await load
             await deployment.front.settle(10)
-            # The drain was told when the file was written, a quiet time of 0.1 s before it was read.
-            assert [at for at in drained.came if at > told + 0.5 + 0.4] == []
+            # The drain counts from the write of the file, which is read 0.1 s later, when it is stable.
+            assert [at for at in drained.came if at > announced_at + 0.5 + 0.4] == []
             assert await asyncio.to_thread(main, [*config, "--approve"]) == 0
             assert '"boxes": []' in capsys.readouterr().out
-            books = deployment.ledger.report()
-            broken = {what: books[what] for what in ("lost", "duplicated", "late", "ran_twice")}
-            assert not any(broken.values()), books["problems"]
+            report = deployment.ledger.report()
+            broken = {what: report[what] for what in ("lost", "duplicated", "late", "ran_twice")}
+            assert not any(broken.values()), report["problems"]
 
     run(scenario)
 
 
-def test_what_the_platforms_list_tells_can_be_looked_at_too(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_boxes_from_discovery_can_be_listed_too(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as deployment:
             caller = await Caller.to(deployment.gateways[0])
