--- a/lynxreel/membership/core.py
+++ b/lynxreel/membership/core.py
@@ -58,14 +58,14 @@
 
 
 @dataclass(frozen=True)
-class Tell:
+class GuardMessage:
     """A log line for the operators: which guard has acted, and on what."""
 
     guard: str  # held, approved, released, twice, flapping, steady, silent, backwards
     text: str
 
 
-Action = Publish | Tell
+Action = Publish | GuardMessage
 
 
 @dataclass
@@ -92,18 +92,20 @@
 
     # --- reports of a source ----------------------------------------------------------------------------
 
-    def whole(self, now: float, revision: int, boxes: Iterable[Box]) -> list[Action]:
+    def apply_full_list(self, now: float, revision: int, boxes: Iterable[Box]) -> list[Action]:
         """Apply a full list. One of an older revision comes from a restored source, and is accepted."""
         actions: list[Action] = []
         if revision < self.revision:
             why = f"revision {revision} after {self.revision}: taken as a new start"
-            actions.append(Tell("backwards", why))
+            actions.append(GuardMessage("backwards", why))
         reported = {box.id: box for box in boxes}
         self._note_flaps(now, reported, [*self._reported, *reported])
         self._reported, self.revision = reported, revision
         return [*self._note_alive(now), *actions, *self._update(now)]
 
-    def change(self, now: float, revision: int, put: Iterable[Box], gone: Iterable[str]) -> list[Action]:
+    def apply_change(
+        self, now: float, revision: int, put: Iterable[Box], gone: Iterable[str]
+    ) -> list[Action]:
         """Apply a change as one step. One of a known revision is ignored, except as a sign of life."""
         if revision <= self.revision:
             return self._note_alive(now)
@@ -115,7 +117,7 @@
         self._reported, self.revision = reported, revision
         return [*self._note_alive(now), *self._update(now)]
 
-    def heard(self, now: float) -> list[Action]:
+    def source_alive(self, now: float) -> list[Action]:
         """Note that the source is alive, though nothing changed."""
         return self._note_alive(now)
 
@@ -124,7 +126,7 @@
         if not self.held:
             return []
         self._removed.clear()
-        return [Tell("approved", self.held), *self._update(now, approved=True)]
+        return [GuardMessage("approved", self.held), *self._update(now, approved=True)]
 
     def view(self, now: float) -> dict[str, object]:
         """Return both lists and what is held, for the operators."""
@@ -161,13 +163,13 @@
         steady = [box_id for box_id, flaps in self._flaps.items() if 0 < flaps.until <= now]
         for box_id in steady:
             del self._flaps[box_id]
-            actions.append(Tell("steady", f"{box_id} is steady again, and follows the source"))
+            actions.append(GuardMessage("steady", f"{box_id} is steady again, and follows the source"))
         if steady:
             actions += self._update(now)
         if not self._silent and now >= self._last_report + self.guards.silent:
             self._silent = True
             why = f"nothing for {self.guards.silent:g} s: revision {self.revision} stays"
-            actions.append(Tell("silent", why))
+            actions.append(GuardMessage("silent", why))
         return actions
 
     # --- guards -----------------------------------------------------------------------------------------
@@ -175,7 +177,7 @@
     def _note_alive(self, now: float) -> list[Action]:
         self._last_report = now
         silent, self._silent = self._silent, False
-        return [Tell("silent", "the source reports again")] if silent else []
+        return [GuardMessage("silent", "the source reports again")] if silent else []
 
     def _note_flaps(self, now: float, reported: dict[str, Box], box_ids: Iterable[str]) -> None:
         for box_id in dict.fromkeys(box_ids):
@@ -207,13 +209,13 @@
                 duplicates.add(box_id)
                 if box_id not in self._duplicates:
                     why = f"{box_id} is left out: {box.address[0]}:{box.address[1]} is {owner}'s"
-                    actions.append(Tell("twice", why))
+                    actions.append(GuardMessage("twice", why))
                 continue
             flaps = self._flaps.get(box_id)
             if flaps is not None and flaps.until > now and box.state is State.READY:
                 before = self.known.get(box_id)
                 if before is None or before.state is State.READY:
-                    actions.append(Tell("flapping", f"{box_id} is kept draining: it flaps"))
+                    actions.append(GuardMessage("flapping", f"{box_id} is kept draining: it flaps"))
                 box = replace(box, state=State.DRAINING)
             wanted[box_id] = box
         self._duplicates = duplicates
@@ -234,11 +236,11 @@
             why = f"{recent} of {len(remaining) + recent} boxes would go within {self.guards.within:g} s"
         if why and not approved:
             if why != self.held:
-                actions.append(Tell("held", f"revision {self.revision}: {why}"))
+                actions.append(GuardMessage("held", f"revision {self.revision}: {why}"))
             self.held = why
             return actions
         if self.held and not approved:
-            actions.append(Tell("released", f"revision {self.revision} removes no more than allowed"))
+            actions.append(GuardMessage("released", f"revision {self.revision} removes no more than allowed"))
         self.held = ""
         self._removed |= dict.fromkeys(removed, now)
         changed = tuple(box for box_id, box in wanted.items() if self.known.get(box_id) != box)
--- a/lynxreel/membership/keys.py
+++ b/lynxreel/membership/keys.py
@@ -4,7 +4,7 @@
     PREFIX settings/limits        the table `limits` of the operator file, as JSON
     PREFIX settings/classes/NAME  one class, without its name; likewise settings/plans/NAME
 
-A box whose value can't be read is left out and reported in `Keys.bad`; the others are used.
+A box whose value can't be read is left out and reported in `Keys.unreadable`; the others are used.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """What is known under one prefix; keys come without the prefix."""
 
     settings: dict[str, bytes] = field(default_factory=dict)
-    bad: dict[str, str] = field(default_factory=dict)  # ids of boxes that are left out, and why
+    unreadable: dict[str, str] = field(default_factory=dict)  # ids of boxes that are left out, and why
     leases: dict[str, int] = field(default_factory=dict)  # lease ids, by box, for keys that have one
     settings_revision: int = 0  # of the last change of settings
 
@@ -48,10 +48,10 @@
         except DocumentError as error:
             return Unreadable(str(error))
 
-    def whole(self, revision: int, entries: Iterable[Entry]) -> tuple[list[Box], bool]:
+    def apply_full_list(self, revision: int, entries: Iterable[Entry]) -> tuple[list[Box], bool]:
         """Process a full list; return the boxes, and whether settings changed."""
         previous, self.settings = self.settings, {}
-        self.bad, self.leases = {}, {}
+        self.unreadable, self.leases = {}, {}
         boxes = []
         for entry in entries:
             box = self._process(entry)
@@ -60,7 +60,7 @@
             self.settings_revision = revision
         return boxes, previous != self.settings
 
-    def change(self, changes: Iterable[Change]) -> tuple[list[Box], list[str], bool]:
+    def apply_changes(self, changes: Iterable[Change]) -> tuple[list[Box], list[str], bool]:
         """Process changes, where the last one of each key counts.
 
         Returns boxes put, ids deleted, and whether settings changed.
@@ -74,7 +74,7 @@
                 settings, self.settings_revision = True, change.revision
                 self.settings.pop(change.key, None)
             elif box_id != change.key:
-                self.bad.pop(box_id, None)
+                self.unreadable.pop(box_id, None)
                 self.leases.pop(box_id, None)
                 put.pop(box_id, None)
                 deleted[box_id] = None
@@ -88,7 +88,7 @@
         box_id = entry.key.removeprefix(BOXES)
         match entry.value:
             case Unreadable(why=why):
-                self.bad[box_id] = why
+                self.unreadable[box_id] = why
             case Box() as box:
                 if entry.lease:
                     self.leases[box_id] = entry.lease
--- a/lynxreel/sources/etcd.py
+++ b/lynxreel/sources/etcd.py
@@ -19,7 +19,7 @@
 from lynxreel.etcd.client import Client, Compacted, EtcdError, Options, Stream
 from lynxreel.internal_errors import internal_errors
 from lynxreel.log import log
-from lynxreel.membership.core import Action, Guards, Membership, Publish, Tell
+from lynxreel.membership.core import Action, Guards, Membership, Publish, GuardMessage
 from lynxreel.membership.keys import Keys
 
 BATCH_SIZE = 50  # values that are parsed between two yields to the event loop
@@ -90,7 +90,7 @@
                     self._add_changes(changes)
                 case lw.Alive():
                     self.refused = ""
-                    self._publish_actions(self.membership.heard(self._loop.time()))
+                    self._publish_actions(self.membership.source_alive(self._loop.time()))
                 case lw.Said(text=text):
                     self.refused = text
                     log(f"etcd: {text}")
@@ -187,10 +187,10 @@
     def _apply_full_list(self, revision: int, entries: Sequence[lw.Entry]) -> None:
         self.refused = ""
         self._unapplied.clear()
-        before = dict(self.keys.bad)
-        boxes, settings = self.keys.whole(revision, entries)
+        before = dict(self.keys.unreadable)
+        boxes, settings = self.keys.apply_full_list(revision, entries)
         self._log_unreadable(before)
-        self._publish_actions(self.membership.whole(self._loop.time(), revision, boxes))
+        self._publish_actions(self.membership.apply_full_list(self._loop.time(), revision, boxes))
         self._pass_on_settings(settings)
 
     def _add_changes(self, changes: Sequence[lw.Change]) -> None:
@@ -209,11 +209,11 @@
         changes, self._unapplied = self._unapplied, []
         if not changes:
             return  # replaced by a full list in the meantime
-        before = dict(self.keys.bad)
-        put, deleted, settings = self.keys.change(changes)
+        before = dict(self.keys.unreadable)
+        put, deleted, settings = self.keys.apply_changes(changes)
         self._log_unreadable(before)
         now = self._loop.time()
-        self._publish_actions(self.membership.change(now, changes[-1].revision, put, deleted))
+        self._publish_actions(self.membership.apply_change(now, changes[-1].revision, put, deleted))
         self._applied_at = self._loop.time()
         self._pass_on_settings(settings)
 
@@ -225,13 +225,13 @@
             self.told.set()
 
     def _log_unreadable(self, before: dict[str, str]) -> None:
-        for box_id, why in self.keys.bad.items():
+        for box_id, why in self.keys.unreadable.items():
             if before.get(box_id) != why:
                 log(f"etcd: {self._etcd_list.prefix}boxes/{box_id} is left out: {why}")
 
     def _publish_actions(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, GuardMessage):
                 log(f"boxes: {action.guard}: {action.text}")
             else:
                 self._publish(action)
@@ -264,7 +264,7 @@
         return {
             "source": "etcd", "endpoint": f"{host}:{port}", "phase": self.following.phase.value,
             "refused": self.refused,
-            "unreadable": dict(self.keys.bad), "leases": dict(self.keys.leases),
+            "unreadable": dict(self.keys.unreadable), "leases": dict(self.keys.leases),
             "taken_at": self._published_at,
             "lists": self.following.lists, "watches": self.following.watches,
         }  # fmt: skip
--- a/lynxreel/sources/files.py
+++ b/lynxreel/sources/files.py
@@ -16,7 +16,7 @@
 from watchfiles import awatch
 
 from lynxreel.log import log
-from lynxreel.membership.core import Action, Guards, Membership, Publish, Tell
+from lynxreel.membership.core import Action, Guards, Membership, Publish, GuardMessage
 from lynxreel.membership.document import MAX_BYTES, DocumentError, read
 
 Mark = tuple[int, int, int, int]  # device, inode, size, modification time; differs between versions
@@ -103,7 +103,7 @@
         if mark is None:
             self._reject("it is not there")
         else:
-            self._perform(self.membership.heard(self._loop.time()))
+            self._perform(self.membership.source_alive(self._loop.time()))
 
     def _read(self) -> bytes:
         """Read the file; runs in a thread, as a network file system may be slow."""
@@ -124,7 +124,7 @@
             self._reject(str(error))
             return
         self.refused = ""
-        self._perform(self.membership.whole(self._loop.time(), revision, boxes))
+        self._perform(self.membership.apply_full_list(self._loop.time(), revision, boxes))
         self.told.set()
 
     def _reject(self, why: str) -> None:
@@ -134,7 +134,7 @@
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, GuardMessage):
                 log(f"boxes: {action.guard}: {action.text}")
             else:
                 self._publish(action)
--- a/lynxreel/sources/freshness.py
+++ b/lynxreel/sources/freshness.py
@@ -87,7 +87,7 @@
 class Freshness:
     """Decides which watches are open; the current one provides the list."""
 
-    def __init__(self, terms: Terms, rng: random.Random) -> None:
+    def __init__(self, policy: Terms, rng: random.Random) -> None:
         self._rng = rng
         self._backoff = Backoff(1.0, 1.0, rng)
         self._last_id = 0
@@ -96,16 +96,16 @@
         self._last_line_at = 0.0
         self._next_open: float | None = 0.0  # when to open the next one; None: not scheduled
         self._failure_logged = False  # that nothing arrives has been logged
-        self.adopt(terms)
+        self.set_policy(policy)
 
-    def adopt(self, terms: Terms) -> None:
-        """Use new terms, for another kind of service or another size of the fleet."""
-        self._terms = terms
+    def set_policy(self, policy: Terms) -> None:
+        """Use a new policy, for another kind of service or another size of the fleet."""
+        self._policy = policy
         self._backoff.adopt(
             *(
                 (AGENT_RETRY_DELAY, AGENT_RETRY_INTERVAL)
-                if terms.agent
-                else shared(terms.fleet, terms.ask_within)
+                if policy.agent
+                else shared(policy.fleet, policy.ask_within)
             )
         )
 
@@ -125,7 +125,7 @@
 
     @property
     def _answer_timeout(self) -> float:
-        return MAX_PENDING * AGENT_RETRY_INTERVAL if self._terms.agent else SERVICE_ANSWER_TIMEOUT
+        return MAX_PENDING * AGENT_RETRY_INTERVAL if self._policy.agent else SERVICE_ANSWER_TIMEOUT
 
     def tick(self, now: float) -> list[Action]:
         """Return what is due: time out pending watches, react to silence, open the next watch."""
@@ -145,7 +145,7 @@
 
     def _on_silence(self, now: float) -> list[Action]:
         """The current watch is silent. At a service this may hit the whole fleet, so the delay is random."""
-        self._next_open = now if self._terms.agent else now + self._rng.uniform(0.0, RECONNECT_SPREAD)
+        self._next_open = now if self._policy.agent else now + self._rng.uniform(0.0, RECONNECT_SPREAD)
         return self._log_once(f"the watch on discovery has been silent for {now - self._last_line_at:.1f} s")
 
     def _log_once(self, text: str) -> list[Action]:
@@ -157,7 +157,7 @@
         """Open a watch. While an agent does not answer, more are opened beside it."""
         actions: list[Action] = []
         self._next_open = (
-            now + AGENT_RETRY_INTERVAL * self._rng.uniform(0.8, 1.2) if self._terms.agent else None
+            now + AGENT_RETRY_INTERVAL * self._rng.uniform(0.8, 1.2) if self._policy.agent else None
         )
         if any(pending.receiving for pending in self._pending.values()):
             return actions  # a long list is being received
@@ -171,7 +171,7 @@
 
     def _schedule_retry(self, now: float, crowded: bool = False) -> None:
         """Schedule a retry, unless one is due sooner. `crowded`: the service rejected the request."""
-        at = now + self._backoff.wait(CROWDED_MOST if crowded and not self._terms.agent else 0.0)
+        at = now + self._backoff.wait(CROWDED_MOST if crowded and not self._policy.agent else 0.0)
         if self._next_open is None or at < self._next_open:
             self._next_open = at
 
@@ -205,7 +205,7 @@
             self._current = None
         elif self._pending.pop(watch, None) is None:
             return []
-        if not self._pending or self._terms.agent:
+        if not self._pending or self._policy.agent:
             self._schedule_retry(now, how is End.REJECTED)
         return self._log_once(f"the watch on discovery {how.value}{why and f' ({why})'}: another is opened")
 
--- a/lynxreel/sources/platform.py
+++ b/lynxreel/sources/platform.py
@@ -138,11 +138,11 @@
         names: Names,
         on_change: OnChange,
         loop: asyncio.AbstractEventLoop,
-        terms: Terms,
+        policy: Terms,
         rng: random.Random,
     ) -> None:
         self.loop = loop
-        self.freshness = Freshness(terms, rng)
+        self.freshness = Freshness(policy, rng)
         self.version = version
         self._versions_restarted = False  # the service has restarted its version numbers
         self.told = asyncio.Event()  # set once a list or changes have been received
@@ -151,10 +151,10 @@
         self._timer: asyncio.TimerHandle | None = None
         self._tick()
 
-    def adopt(self, names: Names, terms: Terms) -> None:
-        """Use new names of kinds and zones, and new terms, from now on."""
+    def adopt(self, names: Names, policy: Terms) -> None:
+        """Use new names of kinds and zones, and a new policy, from now on."""
         self._names = names
-        self.freshness.adopt(terms)
+        self.freshness.set_policy(policy)
         self._tick()
 
     def move(self, address: Address) -> None:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Tests of when watches on the list are opened and closed, in virtual time, for fleets of 4 to 1024."""
+"""Tests of when watches are opened and closed, in virtual time, for fleets of 4, 40, 230 and 1024."""
 
 import random
 from dataclasses import dataclass, field
