--- a/lynxreel/cli/boxes.py
+++ b/lynxreel/cli/boxes.py
@@ -11,7 +11,7 @@
 from lynxreel.config.read import ConfigError, read
 from lynxreel.etcd.client import Client, EtcdError
 from lynxreel.membership.document import DocumentError, read as read_document
-from lynxreel.membership.edit import EditError, drained, replaced
+from lynxreel.membership.edit import EditError, drain_transaction, replace_transaction
 
 OK, REFUSED, UNSURE, NO_ANSWER, BAD_INPUT, BAD_CONFIG = 0, 1, 4, 69, 65, 78
 TRIES = 3  # where others write to the same keys in between
@@ -25,7 +25,7 @@
     async def work(client: Client, prefix: bytes) -> str | None:
         key = prefix + b"boxes/" + number.encode()
         found = [kv async for _, part in client.pages(0, key) for kv in part if kv.key == key]
-        asked = drained(number, found[0] if found else None)
+        asked = drain_transaction(number, found[0] if found else None)
         if asked is None:
             return f"{number} is draining already"
         answer = await client.transact(asked)
@@ -45,7 +45,7 @@
     async def work(client: Client, prefix: bytes) -> str | None:
         under = prefix + b"boxes/"
         found = [kv async for _, part in client.pages(0, under) for kv in part]
-        asked = replaced(under, found, boxes)
+        asked = replace_transaction(under, found, boxes)
         if asked is None:
             return "no change"
         answer = await client.transact(asked)
--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -238,7 +238,7 @@
         return read_address(boxes.discovery)
     from lynxreel.membership.core import Guards  # here: only where it is configured
 
-    guards = Guards(most_removed=boxes.most_removed, within=boxes.removed_within_ms / 1e3)
+    guards = Guards(max_removed=boxes.most_removed, removed_within=boxes.removed_within_ms / 1e3)
     if boxes.etcd is not None:
         from lynxreel.sources.etcd import EtcdList
 
--- a/lynxreel/counters/bump.py
+++ b/lynxreel/counters/bump.py
@@ -116,7 +116,7 @@
         self.loop = loop
         self._address, self._limit, self._post = address, time_limit / 1e6, post
         self._connections: list[_Connection | None] = [None] * CONNECTIONS
-        self.up = asyncio.Event()  # set once a connection has been established
+        self.connected = asyncio.Event()  # set once a connection has been established
         self._in_flight: dict[int, tuple[_Connection, int]] = {}  # by name: its connection, and how many
         self._tasks = [loop.create_task(self._keep_connected(number)) for number in range(CONNECTIONS)]
 
@@ -152,11 +152,11 @@
             None,
         )
 
-    def adopt(self, time_limit: int) -> None:
+    def set_time_limit(self, time_limit: int) -> None:
         """Set the time limit of new calls, in microseconds."""
         self._limit = time_limit / 1e6
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Switch to another address. New calls use it once connected; calls in flight end on the old one."""
         if address == self._address:
             return
@@ -212,7 +212,7 @@
                         lambda: _Connection(self), *self._address
                     )
                 previous, self._connections[number] = self._connections[number], connection
-                self.up.set()
+                self.connected.set()
                 if previous is not None:
                     previous.retire()
                 await self._monitor(connection)
--- a/lynxreel/counters/redis.py
+++ b/lynxreel/counters/redis.py
@@ -311,7 +311,7 @@
             if call.name in self._queues:
                 queue = self._queues[call.name]
 
-    def adopt(self, time_limit: int) -> None:
+    def set_time_limit(self, time_limit: int) -> None:
         """Set the time limit of new calls, in microseconds."""
         self._limit = time_limit / 1e6
 
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -98,8 +98,8 @@
         self._settings: dict[str, bytes] = {}  # in force, by key
         self._settings_revision, self._settings_problems = 0, list[str]()
         self._own = file  # as read, without a source's settings
-        if not isinstance(deployment.discovery, tuple) and hasattr(self.node.source, "settled"):
-            self.node.source.settled = self._settle
+        if not isinstance(deployment.discovery, tuple) and hasattr(self.node.source, "on_settings"):
+            self.node.source.on_settings = self._settle
 
     async def run(self) -> int:
         """Serve until asked to end; the exit code."""
--- a/lynxreel/membership/core.py
+++ b/lynxreel/membership/core.py
@@ -40,12 +40,12 @@
 class Guards:
     """Limits on changes that need no approval, and on flapping and silence. Times are seconds."""
 
-    most_removed: float = 0.5  # fraction of the serving boxes that may be removed...
-    within: float = 60.0  # ...within this time
-    flaps: int = 6  # more changes between serving and not...
-    flap_span: float = 60.0  # ...within this time make a box flap,
-    flap_rest: float = 30.0  # and it is kept draining until it has been steady for this time
-    silent: float = 10.0  # without a report, after which a source counts as silent
+    max_removed: float = 0.5  # fraction of the serving boxes that may be removed...
+    removed_within: float = 60.0  # ...within this time
+    max_flaps: int = 6  # more changes between serving and not...
+    flap_window: float = 60.0  # ...within this time make a box flap,
+    steady_for: float = 30.0  # and it is kept draining until it has been steady for this time
+    silent_after: float = 10.0  # without a report, after which a source counts as silent
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
 
     revision: int
     changed: tuple[Box, ...]
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
 
 
 @dataclass(frozen=True)
@@ -154,7 +154,7 @@
         """Return when `tick` has something to do, or None."""
         times = [flaps.until for flaps in self._flaps.values() if flaps.until]
         if not self._silent:
-            times.append(self._last_report + self.guards.silent)
+            times.append(self._last_report + self.guards.silent_after)
         return min(times, default=None)
 
     def tick(self, now: float) -> list[Action]:
@@ -166,9 +166,9 @@
             actions.append(GuardMessage("steady", f"{box_id} is steady again, and follows the source"))
         if steady:
             actions += self._update(now)
-        if not self._silent and now >= self._last_report + self.guards.silent:
+        if not self._silent and now >= self._last_report + self.guards.silent_after:
             self._silent = True
-            why = f"nothing for {self.guards.silent:g} s: revision {self.revision} stays"
+            why = f"nothing for {self.guards.silent_after:g} s: revision {self.revision} stays"
             actions.append(GuardMessage("silent", why))
         return actions
 
@@ -185,11 +185,11 @@
                 continue
             flaps = self._flaps.setdefault(box_id, _Flapping())
             flaps.at.append(now)
-            while flaps.at[0] <= now - self.guards.flap_span:
+            while flaps.at[0] <= now - self.guards.flap_window:
                 flaps.at.popleft()
-            if len(flaps.at) > self.guards.flaps or flaps.until:
-                flaps.until = now + self.guards.flap_rest
-        expired = now - self.guards.flap_span
+            if len(flaps.at) > self.guards.max_flaps or flaps.until:
+                flaps.until = now + self.guards.steady_for
+        expired = now - self.guards.flap_window
         for box_id in [n for n, flaps in self._flaps.items() if not flaps.until and flaps.at[-1] <= expired]:
             del self._flaps[box_id]
 
@@ -227,13 +227,16 @@
         remaining = {box_id for box_id, box in wanted.items() if _serves(box)}
         removed = serving - remaining
         # A box that has come back does not count: a rolling restart removes each box for a while.
-        self._removed = {n: at for n, at in self._removed.items() if at > now - self.guards.within}
+        self._removed = {n: at for n, at in self._removed.items() if at > now - self.guards.removed_within}
         recent = len(removed.union(self._removed) - remaining)
         why = ""
         if removed and not remaining:
             why = f"no box of {len(serving)} would be left"
-        elif removed and recent > max(1.0, self.guards.most_removed * (len(remaining) + recent)):
-            why = f"{recent} of {len(remaining) + recent} boxes would go within {self.guards.within:g} s"
+        elif removed and recent > max(1.0, self.guards.max_removed * (len(remaining) + recent)):
+            why = (
+                f"{recent} of {len(remaining) + recent} boxes would go "
+                f"within {self.guards.removed_within:g} s"
+            )
         if why and not approved:
             if why != self.held:
                 actions.append(GuardMessage("held", f"revision {self.revision}: {why}"))
--- a/lynxreel/membership/edit.py
+++ b/lynxreel/membership/edit.py
@@ -16,7 +16,7 @@
     """The change can't be made; nothing has been written."""
 
 
-def drained(box_id: str, kv: pb.KeyValue | None) -> pb.TxnRequest | None:
+def drain_transaction(box_id: str, kv: pb.KeyValue | None) -> pb.TxnRequest | None:
     """Set a box to draining, and nothing else; None if it is already. Raises EditError."""
     if kv is None:
         raise EditError(f"{box_id}: there is no such box")
@@ -30,7 +30,9 @@
     return _transaction([kv], [], [_put(kv.key, json.dumps({**value, "state": "draining"}).encode(), kv)])
 
 
-def replaced(prefix: bytes, found: Iterable[pb.KeyValue], boxes: list[Box]) -> pb.TxnRequest | None:
+def replace_transaction(
+    prefix: bytes, found: Iterable[pb.KeyValue], boxes: list[Box]
+) -> pb.TxnRequest | None:
     """Replace `found`, the keys under a prefix, by these boxes; None if they are equal. Raises EditError."""
     existing = {kv.key: kv for kv in found}
     wanted = {prefix + box.id.encode(): write_box(box) for box in boxes}
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -23,8 +23,8 @@
 from lynxreel.peers.datagrams import Peers
 from lynxreel.protocol.address import Address
 from lynxreel.relay.budget import Budget
-from lynxreel.sources.freshness import Terms as ListTerms
-from lynxreel.sources.platform import NOWHERE, Discovery
+from lynxreel.sources.freshness import WatchPolicy as ListTerms
+from lynxreel.sources.platform import NO_ADDRESS, Discovery
 from mothgap.interface import ClockShift, ListKind, Member, Members, PeerMessage, Settings, State
 from mothgap.settings import Names
 
@@ -193,7 +193,7 @@
     def _published(self, news: Publish) -> None:
         """What a membership core lets through."""
         names = self.deployment.names
-        lines = [(Member(number, State.GONE), NOWHERE) for number in news.gone]
+        lines = [(Member(number, State.GONE), NO_ADDRESS) for number in news.removed]
         for box in sorted(news.changed, key=lambda box: box.state is State.READY):  # drains first
             kind, zone = names.kinds.get(box.kind, 0), names.zones.get(box.zone, 0)
             member = Member(box.id, box.state, kind, zone, box.cell, box.started, box.weight)
@@ -220,11 +220,11 @@
         if told is None or address is None:
             return  # one that was called before still takes what is to be settled
         if isinstance(self.counter, Counter) and isinstance(address, tuple):
-            self.counter.move(address)  # its open calls end where they are
+            self.counter.set_address(address)  # its open calls end where they are
         elif self.counter is None or address != self._counted_at:
             self._connect(deployment, address, told.time_limit)
         if self.counter is not None:
-            self.counter.adopt(told.time_limit)
+            self.counter.set_time_limit(told.time_limit)
         self._counted_at = address
 
     def _connect(self, deployment: Deployment, address: Address | Options, time_limit: int) -> None:
@@ -296,14 +296,14 @@
         """Wait so many seconds, or for good, for news of the servers."""
         with suppress(TimeoutError):
             async with asyncio.timeout(patience):
-                await self.source.told.wait()
+                await self.source.ready.wait()
 
     async def _reach(self) -> None:
         """Wait a moment for the counter: calls before that fail, and a few of these count as its absence."""
         if isinstance(self.counter, Counter):
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_NEWS):
-                    await self.counter.up.wait()
+                    await self.counter.connected.wait()
 
     @property
     def lacks(self) -> str:
@@ -346,9 +346,9 @@
     def move(self, discovery: Address, counter: Address | None) -> None:
         """Go by other addresses."""
         if isinstance(self.source, Discovery):
-            self.source.move(discovery)
+            self.source.set_address(discovery)
         if isinstance(self.counter, Counter) and counter is not None:
-            self.counter.move(counter)
+            self.counter.set_address(counter)
 
     async def adopt(self, deployment: Deployment) -> None:
         """Go by another deployment, whole; on an OSError (an address is taken) nothing has changed."""
@@ -371,8 +371,8 @@
             if self.web is not None and deployment.http is not None:
                 self.web.adopt(deployment.http.serving)
             if isinstance(self.source, Discovery) and isinstance(deployment.discovery, tuple):
-                self.source.adopt(names, self._list_terms(settings))
-                self.source.move(deployment.discovery)
+                self.source.reconfigure(names, self._list_terms(settings))
+                self.source.set_address(deployment.discovery)
             self.deployment = deployment
             gone = [address for address in before if address not in deployment.listen]
             if gone:
--- a/lynxreel/sources/etcd.py
+++ b/lynxreel/sources/etcd.py
@@ -52,15 +52,17 @@
         rng: Random,
     ) -> None:
         """Start to follow the list. Raises OSError if a TLS file can't be used."""
-        self.told = asyncio.Event()  # set once a full list has been applied, settings included
-        self.settled: SettingsHandler | None = None  # called on each change, with revision and all settings
+        self.ready = asyncio.Event()  # set once a full list has been applied, settings included
+        self.on_settings: SettingsHandler | None = (
+            None  # called on each change, with revision and all settings
+        )
         self.membership = Membership(etcd_list.guards, loop.time())
         self.refused = ""  # the last error, until a success
         self.keys = Keys()
         self._etcd_list, self._publish, self._loop = etcd_list, publish, loop
         self._prefix = etcd_list.prefix.encode()
         self._client = Client(etcd_list.options)
-        self.following = lw.ListWatch(len(etcd_list.options.endpoints), rng)
+        self.list_watch = lw.ListWatch(len(etcd_list.options.endpoints), rng)
         self._task: asyncio.Task[None] | None = None
         self._stream: Stream | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -70,7 +72,7 @@
         self._settings_changed = asyncio.Event()
         self._settings_task = loop.create_task(self._pass_on_settings_loop())
         self._tick_task = loop.create_task(self._tick_membership())
-        self._perform(self.following.start(loop.time()))
+        self._perform(self.list_watch.start(loop.time()))
 
     def _perform(self, actions: Sequence[lw.Action]) -> None:
         for action in actions:
@@ -96,11 +98,11 @@
                     log(f"etcd: {text}")
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(0.0, self.following.due() - self._loop.time())
+        wait = max(0.0, self.list_watch.due() - self._loop.time())
         self._timer = self._loop.call_later(wait, self._tick)
 
     def _tick(self) -> None:
-        self._perform(self.following.tick(self._loop.time()))
+        self._perform(self.list_watch.tick(self._loop.time()))
 
     def _start_task(self, request: Any) -> None:
         self._stop_task()
@@ -116,16 +118,16 @@
         try:
             await request
         except Compacted as error:
-            self._if_current_task(lambda now: self.following.compacted(now, -1), str(error))
+            self._if_current_task(lambda now: self.list_watch.compacted(now, -1), str(error))
         except EtcdError as error:
             why = str(error)
-            self._if_current_task(lambda now: self.following.failed(now, why), why)
+            self._if_current_task(lambda now: self.list_watch.failed(now, why), why)
         except asyncio.CancelledError:
             raise
         except Exception as error:  # an error within a library must not stop the source for good
             internal_errors.caught(error, "following etcd")
             why = f"internal error: {error!r}"
-            self._if_current_task(lambda now: self.following.failed(now, why), why)
+            self._if_current_task(lambda now: self.list_watch.failed(now, why), why)
 
     def _if_current_task(self, event: Callable[[float], list[lw.Action]], why: str) -> None:
         if self._task is asyncio.current_task():
@@ -138,12 +140,12 @@
         header: pb.ResponseHeader | None = None
         async for received, found in self._client.pages(endpoint, self._prefix):
             header = header or received
-            self.following.page(self._loop.time())
+            self.list_watch.page(self._loop.time())
             for start in range(0, len(found), BATCH_SIZE):
                 entries += [self._entry(kv) for kv in found[start : start + BATCH_SIZE]]
                 await asyncio.sleep(0)
         assert header is not None
-        self._perform(self.following.listed(self._loop.time(), _header(header), entries))
+        self._perform(self.list_watch.listed(self._loop.time(), _header(header), entries))
 
     async def _watch(self, endpoint: int, revision: int) -> None:
         async with self._client.watch(endpoint, self._prefix, revision) as stream:
@@ -153,17 +155,17 @@
                 answer = await stream.receive()
                 now, header = self._loop.time(), _header(answer.header)
                 if answer.canceled and answer.compact_revision:
-                    self._perform(self.following.compacted(now, answer.compact_revision))
+                    self._perform(self.list_watch.compacted(now, answer.compact_revision))
                 elif answer.canceled:
                     self._client.forget_token()  # it may have expired, which a stream reports in no other way
                     raise EtcdError(f"the watch was cancelled: {answer.cancel_reason}")
                 elif answer.created:
-                    self._perform(self.following.created(now, header))
+                    self._perform(self.list_watch.created(now, header))
                 elif not answer.events:
-                    self._perform(self.following.progress(now, header))
+                    self._perform(self.list_watch.progress(now, header))
                 else:
                     changes = [self._change(event) for event in answer.events]
-                    self._perform(self.following.changed(now, header, changes, answer.fragment))
+                    self._perform(self.list_watch.changed(now, header, changes, answer.fragment))
 
     async def _request_progress(self) -> None:
         stream = self._stream
@@ -219,10 +221,10 @@
 
     def _pass_on_settings(self, settings: bool) -> None:
         """Pass new settings on. The first boxes let the instance start, but only after its settings."""
-        if self._etcd_list.settings and (settings or not self.told.is_set()):
+        if self._etcd_list.settings and (settings or not self.ready.is_set()):
             self._settings_changed.set()
         elif self.membership.known:
-            self.told.set()
+            self.ready.set()
 
     def _log_unreadable(self, before: dict[str, str]) -> None:
         for box_id, why in self.keys.unreadable.items():
@@ -242,10 +244,10 @@
         while True:
             await self._settings_changed.wait()
             self._settings_changed.clear()
-            if self.settled is not None:
-                await self.settled(self.keys.settings_revision, dict(self.keys.settings))
+            if self.on_settings is not None:
+                await self.on_settings(self.keys.settings_revision, dict(self.keys.settings))
             if self.membership.known:
-                self.told.set()
+                self.ready.set()
 
     async def _tick_membership(self) -> None:
         while True:
@@ -260,13 +262,13 @@
 
     def view(self) -> dict[str, Any]:
         """Return the state of the source, for the operators."""
-        host, port = self._etcd_list.options.endpoints[self.following.endpoint]
+        host, port = self._etcd_list.options.endpoints[self.list_watch.endpoint]
         return {
-            "source": "etcd", "endpoint": f"{host}:{port}", "phase": self.following.phase.value,
+            "source": "etcd", "endpoint": f"{host}:{port}", "phase": self.list_watch.phase.value,
             "refused": self.refused,
             "unreadable": dict(self.keys.unreadable), "leases": dict(self.keys.leases),
             "taken_at": self._published_at,
-            "lists": self.following.lists, "watches": self.following.watches,
+            "lists": self.list_watch.lists, "watches": self.list_watch.watches,
         }  # fmt: skip
 
     def close(self) -> None:
--- a/lynxreel/sources/files.py
+++ b/lynxreel/sources/files.py
@@ -47,7 +47,7 @@
     ) -> None:
         """`quiet`: seconds without a change before a version is read; `poll_interval`: in seconds."""
         self.refused = ""  # why the present version was rejected; empty if it was not
-        self.told = asyncio.Event()  # set once a version has been applied
+        self.ready = asyncio.Event()  # set once a version has been applied
         self._path, self._publish = file_list.path, publish
         self.membership = Membership(file_list.guards, loop.time())
         self._loop, self._quiet, self._poll_interval = loop, quiet, poll_interval
@@ -125,7 +125,7 @@
             return
         self.refused = ""
         self._perform(self.membership.apply_full_list(self._loop.time(), revision, boxes))
-        self.told.set()
+        self.ready.set()
 
     def _reject(self, why: str) -> None:
         if why != self.refused:
--- a/lynxreel/sources/freshness.py
+++ b/lynxreel/sources/freshness.py
@@ -68,11 +68,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class WatchPolicy:
     """The kind of service, and how often it has to be asked."""
 
     agent: bool  # the service is an agent on this machine, with lists pushed to it
-    fleet: int = 1  # instances that call the same service
+    fleet_size: int = 1  # instances that call the same service
     ask_within: float = 0.0  # seconds within which a service has to be asked; 0: no requirement
 
 
@@ -87,7 +87,7 @@
 class Freshness:
     """Decides which watches are open; the current one provides the list."""
 
-    def __init__(self, policy: Terms, rng: random.Random) -> None:
+    def __init__(self, policy: WatchPolicy, rng: random.Random) -> None:
         self._rng = rng
         self._backoff = Backoff(1.0, 1.0, rng)
         self._last_id = 0
@@ -98,14 +98,14 @@
         self._failure_logged = False  # that nothing arrives has been logged
         self.set_policy(policy)
 
-    def set_policy(self, policy: Terms) -> None:
+    def set_policy(self, policy: WatchPolicy) -> None:
         """Use a new policy, for another kind of service or another size of the fleet."""
         self._policy = policy
         self._backoff.adopt(
             *(
                 (AGENT_RETRY_DELAY, AGENT_RETRY_INTERVAL)
                 if policy.agent
-                else shared(policy.fleet, policy.ask_within)
+                else shared(policy.fleet_size, policy.ask_within)
             )
         )
 
--- a/lynxreel/sources/platform.py
+++ b/lynxreel/sources/platform.py
@@ -12,14 +12,14 @@
 
 from lynxreel.log import log
 from lynxreel.protocol.address import Address, read_address
-from lynxreel.sources.freshness import Action, Close, End, Freshness, Open, Terms
+from lynxreel.sources.freshness import Action, Close, End, Freshness, Open, WatchPolicy
 from lynxreel.sources.objects import Objects
 from mothgap.interface import ListKind, Member, Members, State
 from mothgap.settings import Names
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 CONNECT_TIMEOUT = 5.0  # seconds to connect
-NOWHERE: Address = ("", 0)
+NO_ADDRESS: Address = ("", 0)
 # Raised when reading unexpected JSON.
 UNREADABLE = (ArithmeticError, AttributeError, KeyError, TypeError, ValueError)
 OnChange = Callable[[Members, list[tuple[Member, Address]]], None]
@@ -40,7 +40,7 @@
         weight=weight,
     )
     # A box that is gone gets no requests, so an invalid address must not hide that it is gone.
-    return member, NOWHERE if state is State.GONE else read_address(item["hostPort"])
+    return member, NO_ADDRESS if state is State.GONE else read_address(item["hostPort"])
 
 
 def read_list(
@@ -138,26 +138,26 @@
         names: Names,
         on_change: OnChange,
         loop: asyncio.AbstractEventLoop,
-        policy: Terms,
+        policy: WatchPolicy,
         rng: random.Random,
     ) -> None:
         self.loop = loop
         self.freshness = Freshness(policy, rng)
         self.version = version
         self._versions_restarted = False  # the service has restarted its version numbers
-        self.told = asyncio.Event()  # set once a list or changes have been received
+        self.ready = asyncio.Event()  # set once a list or changes have been received
         self.address, self._names, self._on_change = address, names, on_change
         self._watches: dict[int, _Watch] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._tick()
 
-    def adopt(self, names: Names, policy: Terms) -> None:
+    def reconfigure(self, names: Names, policy: WatchPolicy) -> None:
         """Use new names of kinds and zones, and a new policy, from now on."""
         self._names = names
         self.freshness.set_policy(policy)
         self._tick()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Watch at another address, from the known version. The old watch stays until that one has a line."""
         if address == self.address:
             return
@@ -199,7 +199,7 @@
                 self.version = members.version
                 if entries or is_full:
                     self._on_change(members, entries)
-            self.told.set()
+            self.ready.set()
         self._perform(self.freshness.line_received(watch.number, self.loop.time()))
         self._tick()
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -219,8 +219,8 @@
         counter.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         async with Peer() as other:
-            counter.move((LOCAL, other.port))
-            counter.move((LOCAL, other.port))  # has no effect
+            counter.set_address((LOCAL, other.port))
+            counter.set_address((LOCAL, other.port))  # has no effect
             counter.add(7, 1.0, 1_000_000)  # still to the old address, as the new connection is not open yet
             assert (await peer.hear())[1] == b"bump 7 1.000000 1000\r\n"
             while len(other.writers) < 2:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from lynxreel.sources import platform
 from lynxreel.protocol.address import Address
 from lynxreel.sources import freshness
-from lynxreel.sources.freshness import Terms
+from lynxreel.sources.freshness import WatchPolicy
 from lynxreel.sources.platform import Discovery
 from mothgap.interface import ListKind, Member, Members, State
 from tests.net import LOCAL, NAMES, Peer, run
@@ -33,11 +33,11 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-AGENT, SERVICE = Terms(agent=True, fleet=230), Terms(agent=False)
+AGENT, SERVICE = WatchPolicy(agent=True, fleet_size=230), WatchPolicy(agent=False)
 
 
 def run_scenario(
-    scenario: Callable[[Peer, Changes, Discovery], Awaitable[None]], terms: Terms = SERVICE
+    scenario: Callable[[Peer, Changes, Discovery], Awaitable[None]], terms: WatchPolicy = SERVICE
 ) -> None:
     async def start() -> None:
         changes: Changes = asyncio.Queue()
@@ -230,7 +230,7 @@
     async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await open_second_watch(peer)
         async with Peer() as other:
-            discovery.move((LOCAL, other.port))
+            discovery.set_address((LOCAL, other.port))
             assert b"from=42 " in await asyncio.wait_for(other.answer(HEAD + chunk(line(43))), 2)
             versions = [(await changes.get())[0].version for _ in range(2)]
             assert versions == [42, 43]
@@ -279,8 +279,8 @@
         await peer.answer(HEAD + chunk(line(77)))
         await changes.get()
         async with Peer() as other:
-            discovery.move((LOCAL, other.port))
-            discovery.move((LOCAL, other.port))
+            discovery.set_address((LOCAL, other.port))
+            discovery.set_address((LOCAL, other.port))
             assert b"from=77 " in await other.answer(HEAD + chunk(line(78)))
             assert (await changes.get())[0].version == 78
             assert (await peer.hear())[1] == b""
@@ -294,10 +294,10 @@
     async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
         await changes.get()
-        discovery.move((LOCAL, 1))  # connection refused
+        discovery.set_address((LOCAL, 1))  # connection refused
         peer.writers[0].write(chunk(line(78)))
         assert (await changes.get())[0].version == 78
-        discovery.move((LOCAL, peer.port))
+        discovery.set_address((LOCAL, peer.port))
         assert b"from=78 " in await peer.answer(HEAD)
 
     run_scenario(scenario)
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -240,7 +240,7 @@
 
         listing = EtcdList(Options((cluster.etcd.address,)), PREFIX)
         source = EtcdSource(listing, take, asyncio.get_running_loop(), random.Random(1))
-        await source.told.wait()
+        await source.ready.wait()
         cluster.faults.on(Fault(Kind.RESET, share=0.15, target="wire"))
         for cell in range(1, 120):
             cluster.put(*[Box(box.id, box.address, cell=cell) for box in boxes])
@@ -275,7 +275,7 @@
         await heard.get()
         while source.view()["phase"] != "watching":
             await asyncio.sleep(0.01)
-        quiet = (silent, sound)[source.following.endpoint]
+        quiet = (silent, sound)[source.list_watch.endpoint]
         quiet.faults.on(Fault(Kind.MUTE))
         silent.put(Box("b0", boxes[0].address, State.DRAINING))
         began = loop.time()
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -17,7 +17,7 @@
     Freshness,
     Open,
     LogLine,
-    Terms,
+    WatchPolicy,
 )
 
 HEARTBEAT = 2.0  # seconds between heartbeats
@@ -114,7 +114,9 @@
 
 
 def simulation(agent: Agent, fleet: int = 230, seed: int = 1) -> Simulation:
-    return Simulation(agent, Freshness(Terms(agent=True, fleet=fleet, ask_within=10.0), random.Random(seed)))
+    return Simulation(
+        agent, Freshness(WatchPolicy(agent=True, fleet_size=fleet, ask_within=10.0), random.Random(seed))
+    )
 
 
 @pytest.mark.parametrize("fleet", [4, 40, 230])
@@ -206,7 +208,7 @@
 def test_a_service_that_rejects_requests_gets_no_more_of_them_from_a_larger_fleet(fleet: int) -> None:
     requests = []
     for number in range(fleet):
-        core = Freshness(Terms(agent=False, fleet=fleet, ask_within=0.0), random.Random(number))
+        core = Freshness(WatchPolicy(agent=False, fleet_size=fleet, ask_within=0.0), random.Random(number))
         now = 0.0
         while now < 60.0:
             due = core.due()
@@ -249,13 +251,13 @@
 
     def test_a_watch_that_falls_silent(self, fleet: int, answer_delay: float) -> None:
         for seed in range(50):
-            core = Freshness(Terms(agent=False, fleet=fleet, ask_within=10.0), random.Random(seed))
+            core = Freshness(WatchPolicy(agent=False, fleet_size=fleet, ask_within=10.0), random.Random(seed))
             core.line_received(opened(core, 0.0), 0.5)
             assert first_line_after(core, 0.5, answer_delay) - 0.5 < ANNOUNCED_AFTER
 
     def test_it_is_unreachable_for_long_and_back(self, fleet: int, answer_delay: float) -> None:
         for seed in range(50):
-            core = Freshness(Terms(agent=False, fleet=fleet, ask_within=10.0), random.Random(seed))
+            core = Freshness(WatchPolicy(agent=False, fleet_size=fleet, ask_within=10.0), random.Random(seed))
             now = 0.0
             while now < 60.0:
                 due = core.due()
@@ -268,13 +270,13 @@
 
     def test_a_request_is_never_answered(self, fleet: int, answer_delay: float) -> None:
         for seed in range(50):
-            core = Freshness(Terms(agent=False, fleet=fleet, ask_within=10.0), random.Random(seed))
+            core = Freshness(WatchPolicy(agent=False, fleet_size=fleet, ask_within=10.0), random.Random(seed))
             opened(core, 0.0)
             assert first_line_after(core, 0.01, answer_delay) - 0.01 < ANNOUNCED_AFTER + GRACE + answer_delay
 
 
 def test_a_service_gets_one_request_at_a_time_and_the_silent_watch_stays_open() -> None:
-    core = Freshness(Terms(agent=False, fleet=230, ask_within=10.0), random.Random(3))
+    core = Freshness(WatchPolicy(agent=False, fleet_size=230, ask_within=10.0), random.Random(3))
     (first,) = core.tick(0.0)
     assert isinstance(first, Open)
     core.line_received(first.watch, 0.1)
@@ -291,7 +293,7 @@
 
 
 def test_a_list_that_arrives_in_pieces_does_not_time_out() -> None:
-    core = Freshness(Terms(agent=True), random.Random(3))
+    core = Freshness(WatchPolicy(agent=True), random.Random(3))
     (first,) = core.tick(0.0)
     assert isinstance(first, Open)
     for step in range(1, 40):
@@ -307,7 +309,7 @@
 
 
 def test_a_new_address_is_called_at_once() -> None:
-    core = Freshness(Terms(agent=False, fleet=40), random.Random(3))
+    core = Freshness(WatchPolicy(agent=False, fleet_size=40), random.Random(3))
     core.line_received(opened(core, 0.0), 0.1)
     assert core.address_changed(1.0) == [] and core.current == 1  # it stays until the new one receives a line
     assert core.due() == 1.0
@@ -315,7 +317,7 @@
 
 
 def test_delays_start_again_at_a_new_address() -> None:
-    core, now = Freshness(Terms(agent=False, fleet=40), random.Random(3)), 0.0
+    core, now = Freshness(WatchPolicy(agent=False, fleet_size=40), random.Random(3)), 0.0
     for failures in range(7):
         core.watch_ended(opened(core, now), End.REJECTED, now)
         due = core.due()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,9 @@
 from lynxreel.membership.core import Action, Box, Guards, Membership, Publish, GuardMessage
 from mothgap.interface import State
 
-GUARDS = Guards(most_removed=0.5, within=60.0, flaps=4, flap_span=60.0, flap_rest=30.0, silent=10.0)
+GUARDS = Guards(
+    max_removed=0.5, removed_within=60.0, max_flaps=4, flap_window=60.0, steady_for=30.0, silent_after=10.0
+)
 
 
 def box(number: int, state: State = State.READY, port: int = 0) -> Box:
@@ -33,7 +35,7 @@
 def published(actions: list[Action]) -> tuple[list[str], list[str]]:
     """Return the ids that changed, and those that were removed."""
     found = [action for action in actions if isinstance(action, Publish)]
-    return [b.id for p in found for b in p.changed], [number for p in found for number in p.gone]
+    return [b.id for p in found for b in p.changed], [number for p in found for number in p.removed]
 
 
 def test_a_change_publishes_the_differences_and_an_old_one_nothing() -> None:
@@ -167,7 +169,7 @@
         )
         for action in actions:
             if isinstance(action, Publish):
-                for number in action.gone:
+                for number in action.removed:
                     del engine[number]
                 engine.update((b.id, b) for b in action.changed)
         assert engine == membership.known
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -158,7 +158,7 @@
                 node = Node(deployment, 1, known, loop)
                 await node.start(0.0)
                 assert isinstance(node.counter, Counter)
-                assert node.counter.up.is_set() is (port == peer.port)
+                assert node.counter.connected.is_set() is (port == peer.port)
                 assert node.lacks == "no servers"
                 server = Member("s-1", State.READY)
                 node._news(Members(ListKind.FULL, 2, (server,)), [(server, (LOCAL, 9))])
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -148,13 +148,13 @@
 
         def on_publish(update: Publish) -> None:
             published.append(update)
-            for box_id in update.gone:
+            for box_id in update.removed:
                 del known[box_id]
             known.update((box.id, box) for box in update.changed)
             assert {box.cell for box in known.values()} == {update.revision}
             assert len(known) == 3 + update.revision % 5
 
-        guards = Guards(most_removed=1.0, flaps=10_000)
+        guards = Guards(max_removed=1.0, max_flaps=10_000)
         watched = WatchedFile(FileList(path, guards), on_publish, loop, quiet=0.004, poll_interval=0.01)
         for revision in range(1, 2_001):
             whole = write(revision, make_boxes(3 + revision % 5, revision))
