--- a/mothgap/lending.py
+++ b/mothgap/lending.py
@@ -1,11 +1,12 @@
-"""Parts of ceilings that gateways lend each other: the messages, and which of them may be believed.
-
-Each gateway that a customer's requests come through holds an even part of the customer's ceiling. Requests
-come unevenly: where one gateway's part is used up, it asks others for what they have saved up and do not
-need. The giver takes the units off its own part before it tells; the asker takes them only as the first
-answer to its own question, from the gateway that it asked, and soon after it asked. So units can be lost on
-the way, and never double; the counter has no say in it. What still comes late would let more through than the
-ceiling by what is refilled meanwhile: that much is kept free of every part (`held_back`).
+"""Gateways lend each other shares of ceilings: the messages, and which replies are accepted.
+
+Each gateway through which a customer's requests arrive holds an even share of the customer's ceiling.
+Requests arrive unevenly: a gateway whose share is used up asks others for units that they have saved up and
+do not need. The lender takes the units off its own share before it replies. The borrower accepts only the
+first reply to its own request, from the gateway that it asked, within ANSWER_TIMEOUT. So units can be lost in
+transit but never duplicated, and the counter is not involved. A reply that is still in transit could let
+more through than the ceiling allows, by what is refilled meanwhile; that much of the ceiling is kept out of
+every share (`reserved_units`).
 """
 
 from __future__ import annotations
@@ -18,32 +19,33 @@
 from mothgap.interface import Plan, Tell
 
 SECOND = 1_000_000  # microseconds
-VERSION = 1  # of the messages; others are not read
-ASK, GIVE = 1, 2
-LIFE = 100_000  # microseconds from the question in which an answer counts; the way there and back takes less
-HEARD_LEAST = 0.6  # of the questions that must be answered in time: what is given in vain is lost to all
-HEARD_SMOOTH = 0.1  # share of the last question in that
-TRIAL = 0.05  # of the questions are asked where fewer are
-MOST_OUT = 4096  # questions remembered; the oldest are forgotten, and their answers lost
-PARTS = 1_000  # of a unit, in which messages count
-_ASK, _GIVE = struct.Struct("<BBQIIBHH"), struct.Struct("<BBQII")
+VERSION = 1  # of the message format; messages of other versions are ignored
+REQUEST_CODE, REPLY_CODE = 1, 2
+LIFE = 100_000  # microseconds after a request in which its reply is accepted; a round trip is shorter
+# Share of requests that must be answered in time; units that arrive too late are lost to all gateways.
+MIN_ANSWERED_SHARE = 0.6
+ANSWERED_SMOOTHING = 0.1  # weight of the latest request in the running share of answered requests
+TRIAL_SHARE = 0.05  # share of requests that are still sent while fewer are answered in time
+MAX_PENDING = 4096  # pending requests; the oldest are evicted, and their replies lost
+PARTS_PER_UNIT = 1_000  # messages carry units as whole thousandths
+_REQUEST_FORMAT, _REPLY_FORMAT = struct.Struct("<BBQIIBHH"), struct.Struct("<BBQII")
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A gateway wants units of a customer's ceiling."""
+    """A gateway asks for units of a customer's ceiling."""
 
     customer: int
-    number: int  # of the question; its answer repeats it
+    number: int  # random; the reply repeats it
     units: float
     plan: int
-    spread: int  # gateways that the customer's requests come through
-    first: int  # the first of them
+    spread: int  # number of gateways through which the customer's requests arrive
+    first: int  # number of the first of them
 
 
 @dataclass(frozen=True, slots=True)
 class Give:
-    """Units that have been taken off the sender's part; 0 where it has none to give."""
+    """Units that have been taken off the sender's share; 0 where it has none to lend."""
 
     customer: int
     number: int
@@ -51,92 +53,103 @@
 
 
 def held_back(plan: Plan) -> float:
-    """Units of the ceiling that nobody may save up, so that answers on the way can't pass it."""
+    """Units of the ceiling that no gateway may save up, so that replies in transit can't exceed it."""
     return max(0.0, plan.ceiling_rate * LIFE / SECOND - plan.ceiling_slack)
 
 
 def in_set(number: int, first: int, spread: int, fleet: int) -> bool:
-    """Whether a gateway is one of the `spread` from `first` on, counted round."""
+    """Whether a gateway is one of the `spread` gateways from `first` on, modulo the size of the fleet."""
     return 0 <= number < fleet and (number - first) % fleet < spread
 
 
 def read(data: bytes) -> Ask | Give | None:
-    """A message, or None where it is torn, of another version, or makes no sense."""
-    if len(data) == _ASK.size and data[0] == VERSION and data[1] == ASK:
-        _, _, customer, number, parts, plan, spread, first = _ASK.unpack(data)
-        return Ask(customer, number, parts / PARTS, plan, spread, first)
-    if len(data) == _GIVE.size and data[0] == VERSION and data[1] == GIVE:
-        _, _, customer, number, parts = _GIVE.unpack(data)
-        return Give(customer, number, parts / PARTS)
+    """Decode a message; None where it is truncated, malformed or of another version."""
+    if len(data) == _REQUEST_FORMAT.size and data[0] == VERSION and data[1] == REQUEST_CODE:
+        _, _, customer, number, parts, plan, spread, first = _REQUEST_FORMAT.unpack(data)
+        return Ask(customer, number, parts / PARTS_PER_UNIT, plan, spread, first)
+    if len(data) == _REPLY_FORMAT.size and data[0] == VERSION and data[1] == REPLY_CODE:
+        _, _, customer, number, parts = _REPLY_FORMAT.unpack(data)
+        return Give(customer, number, parts / PARTS_PER_UNIT)
     return None
 
 
 def write(message: Ask | Give) -> bytes:
-    """A message's bytes, at most 23. Units are rounded down: no more may arrive than was taken off."""
-    parts, m = int(message.units * PARTS), message
+    """Encode a message in at most 23 bytes.
+
+    Units are rounded down, so that no more arrives than was taken off the lender's share.
+    """
+    parts, m = int(message.units * PARTS_PER_UNIT), message
     if isinstance(m, Ask):
-        return _ASK.pack(VERSION, ASK, m.customer, m.number, parts, m.plan, m.spread, m.first)
-    return _GIVE.pack(VERSION, GIVE, m.customer, m.number, parts)
+        return _REQUEST_FORMAT.pack(
+            VERSION, REQUEST_CODE, m.customer, m.number, parts, m.plan, m.spread, m.first
+        )
+    return _REPLY_FORMAT.pack(VERSION, REPLY_CODE, m.customer, m.number, parts)
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
-    """One that has not been answered."""
+class _PendingRequest:
+    """A request for units that has not been answered."""
 
     customer: int
-    to: int
+    lender: int
     units: float
-    until: int
+    expires_at: int
 
 
 class Questions:
-    """What this gateway has asked and still hopes for."""
+    """This gateway's pending requests for units."""
 
-    def __init__(self, index: int, chance: random.Random) -> None:
-        self._index, self._chance = index, chance
-        self._out: OrderedDict[int, _Question] = OrderedDict()
-        self._hoped: dict[int, int] = {}  # by customer: questions that are out
-        self._heard = 1.0  # share of the questions that were answered in time
+    def __init__(self, index: int, rng: random.Random) -> None:
+        self._index, self._rng = index, rng
+        self._pending: OrderedDict[int, _PendingRequest] = OrderedDict()
+        self._pending_by_customer: dict[int, int] = {}
+        self._answered_share = 1.0  # running share of requests that were answered in time
 
     def out(self, customer: int, now: int) -> int:
-        """Questions for a customer that may still be answered."""
-        while self._out and next(iter(self._out.values())).until < now:
-            self._forget(next(iter(self._out)))
-            self._heard -= HEARD_SMOOTH * self._heard
-        return self._hoped.get(customer, 0)
-
-    def ask(self, ask: Ask, fleet: int, now: int) -> Tell | None:
-        """Ask one of the customer's gateways, drawn by chance; its number is set here. None: not now."""
-        own = (self._index - ask.first) % fleet  # its place among them, if it is one of them
-        others = ask.spread - (own < ask.spread)
-        if others < 1 or (self._heard < HEARD_LEAST and self._chance.random() >= TRIAL):
+        """The number of a customer's requests that may still be answered; removes expired ones."""
+        while self._pending and next(iter(self._pending.values())).expires_at < now:
+            self._remove(next(iter(self._pending)))
+            self._answered_share -= ANSWERED_SMOOTHING * self._answered_share
+        return self._pending_by_customer.get(customer, 0)
+
+    def ask(self, wanted: Ask, fleet: int, now: int) -> Tell | None:
+        """A request with a new id to a random gateway of the customer; None where none is to be sent now."""
+        # This gateway's position among the customer's gateways, if it is one of them.
+        own_position = (self._index - wanted.first) % fleet
+        candidates = wanted.spread - (own_position < wanted.spread)
+        if candidates < 1 or (
+            self._answered_share < MIN_ANSWERED_SHARE and self._rng.random() >= TRIAL_SHARE
+        ):
             return None
-        place = int(self._chance.random() * others)
-        place = (ask.first + place + (place >= own)) % fleet
-        number = self._chance.getrandbits(32)
-        if number in self._out:
+        lender = int(self._rng.random() * candidates)
+        lender = (wanted.first + lender + (lender >= own_position)) % fleet
+        number = self._rng.getrandbits(32)
+        if number in self._pending:
             return None
-        if len(self._out) >= MOST_OUT:
-            self._forget(next(iter(self._out)))
-        self._out[number] = _Question(ask.customer, place, ask.units, now + LIFE)
-        self._hoped[ask.customer] = self._hoped.get(ask.customer, 0) + 1
-        return Tell(place, write(Ask(ask.customer, number, ask.units, ask.plan, ask.spread, ask.first)))
-
-    def answered(self, give: Give, sender: int, now: int) -> float | None:
-        """Units that an answer brings; None where nobody asked, another was asked, or it comes too late."""
-        question = self._out.get(give.number)
-        if question is None or question.to != sender or question.customer != give.customer:
+        if len(self._pending) >= MAX_PENDING:
+            self._remove(next(iter(self._pending)))
+        self._pending[number] = _PendingRequest(wanted.customer, lender, wanted.units, now + LIFE)
+        self._pending_by_customer[wanted.customer] = self._pending_by_customer.get(wanted.customer, 0) + 1
+        return Tell(
+            lender,
+            write(Ask(wanted.customer, number, wanted.units, wanted.plan, wanted.spread, wanted.first)),
+        )
+
+    def answered(self, reply: Give, sender: int, now: int) -> float | None:
+        """Units that a reply brings; None where it is unrequested, from another gateway, or too late."""
+        request = self._pending.get(reply.number)
+        if request is None or request.lender != sender or request.customer != reply.customer:
             return None
-        if now > question.until:
+        if now > request.expires_at:
             return None
-        self._forget(give.number)
-        self._heard += HEARD_SMOOTH * (1.0 - self._heard)
-        return min(give.units, question.units)
-
-    def _forget(self, number: int) -> None:
-        customer = self._out.pop(number).customer
-        left = self._hoped[customer] - 1
-        if left:
-            self._hoped[customer] = left
+        self._remove(reply.number)
+        self._answered_share += ANSWERED_SMOOTHING * (1.0 - self._answered_share)
+        return min(reply.units, request.units)
+
+    def _remove(self, number: int) -> None:
+        customer = self._pending.pop(number).customer
+        remaining = self._pending_by_customer[customer] - 1
+        if remaining:
+            self._pending_by_customer[customer] = remaining
         else:
-            del self._hoped[customer]
+            del self._pending_by_customer[customer]
--- a/mothgap/shared_clock.py
+++ b/mothgap/shared_clock.py
@@ -1,11 +1,12 @@
-"""The clock of a fleet: a gateway that starts asks others for the time before it names its first window.
+"""The clock of a fleet: at its start, a gateway queries others for the time.
 
-Windows of quotas and ages of servers are told by the wall clock at a start. Where a machine's clock was
-stepped before that, one gateway would name windows that no other uses, and take cold servers for warm ones.
-So it asks a few gateways, and goes by the median of their clocks and its own: one clock that is wrong decides
-nothing among three. Of two clocks that disagree, the one that has run for longer is the fleet's.
+Quota windows and ages of servers are derived from the wall clock, read once at the start. Where the machine's
+clock was stepped before that, the gateway would use windows that no other uses, and take cold servers for
+warm ones. So before it numbers its first window, it queries a few gateways and adopts the median of their
+clocks and its own: among three clocks, a single wrong one has no effect. Of two clocks that disagree, the one
+of the gateway with the longer uptime wins.
 
-Messages share the datagrams and the numbering of `lending`; versions that do not know them drop them.
+Messages share the datagrams and the code numbers of `lending`; versions that do not know them drop them.
 """
 
 from __future__ import annotations
@@ -18,60 +19,60 @@
 from mothgap.interface import Tell
 from mothgap.lending import VERSION
 
-ASK, TELL = 3, 4
-ASKED_MOST = 8  # gateways that are asked, of however many
-AGREE = 500_000  # microseconds: clocks that are nearer to each other are one clock
-FIRST_WAIT = 1.0  # seconds in the mean from the start to the next survey; the waits double...
-LONGEST_WAIT = 10.0  # ...up to this
-CONFIRMED = 4  # surveys in a row, answered by most and agreeing, after which nothing more is asked
-_ASK, _TELL = struct.Struct("<BBQ"), struct.Struct("<BBQQQ")
+QUERY_CODE, REPLY_CODE = 3, 4
+MAX_QUERIED = 8  # gateways that are queried, however large the fleet is
+AGREE = 500_000  # microseconds; clocks that differ by less count as the same
+FIRST_DELAY = 1.0  # seconds; mean delay from the start to the next survey, doubled after each...
+MAX_DELAY = 10.0  # ...up to this many seconds
+CONFIRMING_SURVEYS = 4  # consecutive surveys with a quorum and no difference, after which no more are made
+_QUERY_FORMAT, _REPLY_FORMAT = struct.Struct("<BBQ"), struct.Struct("<BBQQQ")
 
 
 @dataclass(frozen=True, slots=True)
 class AskClock:
-    """What is the time at yours?"""
+    """A query for the receiver's time."""
 
-    number: int  # of the question; its answer repeats it
+    number: int  # random; the reply repeats it
 
 
 @dataclass(frozen=True, slots=True)
 class TellClock:
-    """A gateway's clock as it answers. Times are microseconds."""
+    """A gateway's clock at the time of its reply. Times are microseconds."""
 
     number: int
     clock: int
-    age: int  # since that gateway began
+    age: int  # the replying gateway's uptime
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """One gateway's clock against the own one, in microseconds."""
+    """One gateway's clock relative to this gateway's own, and its uptime, in microseconds."""
 
     ahead: int
     age: int
 
 
 def read(data: bytes) -> AskClock | TellClock | None:
-    """A message, or None where it is torn, of another version, or of another kind."""
-    if len(data) == _ASK.size and data[0] == VERSION and data[1] == ASK:
-        return AskClock(_ASK.unpack(data)[2])
-    if len(data) == _TELL.size and data[0] == VERSION and data[1] == TELL:
-        return TellClock(*_TELL.unpack(data)[2:])
+    """Decode a message; None where it is truncated, of another version, or of another kind."""
+    if len(data) == _QUERY_FORMAT.size and data[0] == VERSION and data[1] == QUERY_CODE:
+        return AskClock(_QUERY_FORMAT.unpack(data)[2])
+    if len(data) == _REPLY_FORMAT.size and data[0] == VERSION and data[1] == REPLY_CODE:
+        return TellClock(*_REPLY_FORMAT.unpack(data)[2:])
     return None
 
 
 def write(message: AskClock | TellClock) -> bytes:
-    """A message's bytes, at most 26."""
+    """Encode a message in at most 26 bytes."""
     if isinstance(message, AskClock):
-        return _ASK.pack(VERSION, ASK, message.number)
-    return _TELL.pack(VERSION, TELL, message.number, message.clock, message.age)
+        return _QUERY_FORMAT.pack(VERSION, QUERY_CODE, message.number)
+    return _REPLY_FORMAT.pack(VERSION, REPLY_CODE, message.number, message.clock, message.age)
 
 
-def agreed(readings: Sequence[Reading]) -> int:
-    """How far the median clock is ahead of the own one, which stands among the readings with 0 ahead.
+def consensus_offset(readings: Sequence[Reading]) -> int:
+    """How far the median clock is ahead of this gateway's own, whose reading of 0 is among `readings`.
 
-    Of an even number whose middle two disagree, the clock of the gateway that has run for longest: the others
-    see the same one.
+    With an even number of readings whose middle two disagree, the clock of the gateway with the longest
+    uptime is used: all gateways choose the same one that way.
     """
     ordered = sorted(readings, key=lambda reading: reading.ahead)
     low, high = ordered[(len(ordered) - 1) // 2].ahead, ordered[len(ordered) // 2].ahead
@@ -81,67 +82,68 @@
 
 
 class ClockSurvey:
-    """One gateway's question for the time, to a few others, and their answers. Times are microseconds."""
+    """Queries for the time to a few other gateways, and their replies. Times are microseconds."""
 
-    def __init__(self, index: int, fleet: int, chance: random.Random) -> None:
-        """`index`: this gateway's number, of `fleet` that there are."""
+    def __init__(self, index: int, fleet: int, rng: random.Random) -> None:
+        """`index`: this gateway's number. `fleet`: the number of gateways."""
         others = [number for number in range(fleet) if number != index]
-        self.asked = chance.sample(others, min(ASKED_MOST, len(others)))
-        self._chance = chance
-        self._out: dict[int, tuple[int, int]] = {}  # by question: who was asked, and when
-        self._readings: dict[int, Reading] = {}  # by gateway
+        self.queried = rng.sample(others, min(MAX_QUERIED, len(others)))
+        self._rng = rng
+        self._pending: dict[int, tuple[int, int]] = {}  # by query id: the gateway, and the time of sending
+        self._readings: dict[int, Reading] = {}  # by gateway number
 
     def ask(self, now: int) -> list[Tell]:
-        """Ask those who have not answered, or ask them again. `now`: of the own clock, as everywhere here."""
-        return [self._question(number, now) for number in self.asked if number not in self._readings]
+        """Queries to all gateways that have not replied yet. `now`: by this gateway's own clock."""
+        return [self._query(number, now) for number in self.queried if number not in self._readings]
 
-    def _question(self, to: int, now: int) -> Tell:
-        number = self._chance.getrandbits(64)
-        self._out[number] = to, now
+    def _query(self, to: int, now: int) -> Tell:
+        number = self._rng.getrandbits(64)
+        self._pending[number] = to, now
         return Tell(to, write(AskClock(number)))
 
-    def heard(self, sender: int, told: TellClock, now: int) -> None:
-        """An answer. One that nobody asked for, or another one was asked for, tells nothing.
+    def heard(self, sender: int, reply: TellClock, now: int) -> None:
+        """Take a reply. One that was not requested, or is from another gateway, is ignored.
 
-        Nor does one that took as long as clocks may differ: the time was read somewhere in between.
+        So is one whose round trip took as long as clocks may differ: it is unknown when in between the
+        remote clock was read.
         """
-        to, asked_at = self._out.get(told.number, (None, 0))
-        if to == sender and now - asked_at < AGREE:
-            self._readings[sender] = Reading(told.clock - (asked_at + now) // 2, told.age)
+        to, sent_at = self._pending.get(reply.number, (None, 0))
+        if to == sender and now - sent_at < AGREE:
+            self._readings[sender] = Reading(reply.clock - (sent_at + now) // 2, reply.age)
 
     @property
     def settled(self) -> bool:
-        """Whether more than half of those who were asked have answered: others would change little."""
-        return 2 * len(self._readings) > len(self.asked) or not self.asked
+        """Whether more than half of the queried gateways have replied: more would change little."""
+        return 2 * len(self._readings) > len(self.queried) or not self.queried
 
     def ahead(self, age: int) -> int:
-        """How far the fleet's clock is ahead of the own one; 0 where they agree, or nobody has answered.
+        """How far the fleet's clock is ahead of this gateway's own; 0 where they agree or nobody has replied.
 
-        `age`: since this gateway began.
+        `age`: this gateway's uptime.
         """
-        ahead = agreed([Reading(0, age), *self._readings.values()])
+        ahead = consensus_offset([Reading(0, age), *self._readings.values()])
         return ahead if abs(ahead) >= AGREE else 0
 
 
 class Rounds:
-    """The surveys after that of the start: whoever came first, or was cut off, comes round by them."""
+    """Schedules the surveys after the first: they correct a gateway that started first or was cut off."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
-        self._wait = FIRST_WAIT
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._delay = FIRST_DELAY
         self._confirmed = 0
 
     def wait(self) -> float | None:
-        """Seconds until the next survey, drawn by chance; None where no more are wanted."""
-        if self._confirmed >= CONFIRMED:
+        """Randomized delay until the next survey in seconds; None where no more are needed."""
+        if self._confirmed >= CONFIRMING_SURVEYS:
             return None
-        wait, self._wait = self._wait, min(2 * self._wait, LONGEST_WAIT)
-        return wait * self._chance.uniform(0.5, 1.5)
+        wait, self._delay = self._delay, min(2 * self._delay, MAX_DELAY)
+        return wait * self._rng.uniform(0.5, 1.5)
 
     def over(self, survey: ClockSurvey, age: int) -> int:
-        """A survey has ended: by how many microseconds the own clock is to go ahead; 0 where it stays.
+        """Evaluate a survey: by how many microseconds to advance this gateway's clock; 0 to keep it.
 
-        `age`: as for `ClockSurvey.ahead`. Clocks in service follow most of those who were asked, or nobody.
+        `age`: this gateway's uptime. A clock in service is changed only where a majority has replied.
         """
         ahead = survey.ahead(age) if survey.settled else 0
         self._confirmed = self._confirmed + 1 if survey.settled and not ahead else 0
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -18,7 +18,7 @@
     State,
     Tell,
 )
-from mothgap.lending import LIFE, MOST_OUT, Ask, Give, Questions, held_back, read, write
+from mothgap.lending import LIFE, MAX_PENDING, Ask, Give, Questions, held_back, read, write
 from tests.gateways import Gateways, Ledger
 from tests.helpers import CUSTOMER, MS, SECOND, SETTINGS, START
 
@@ -158,10 +158,10 @@
 
 def test_questions_that_nobody_answers_are_forgotten() -> None:
     questions = Questions(0, random.Random(1))
-    for number in range(2 * MOST_OUT):
+    for number in range(2 * MAX_PENDING):
         questions.ask(replace(ASKED, customer=number), FLEET, START)
-    assert len(questions._out) == MOST_OUT
-    assert len(questions._hoped) == MOST_OUT
+    assert len(questions._pending) == MAX_PENDING
+    assert len(questions._pending_by_customer) == MAX_PENDING
 
 
 def asked_by(sender: int, **fields: int | float) -> list[Action]:
--- a/tests/test_shared_clock.py
+++ b/tests/test_shared_clock.py
@@ -16,12 +16,12 @@
 from mothgap.interface import PeerMessage
 from mothgap.shared_clock import (
     AGREE,
-    ASKED_MOST,
+    MAX_QUERIED,
     AskClock,
     ClockSurvey,
     Reading,
     TellClock,
-    agreed,
+    consensus_offset,
     read,
     write,
 )
@@ -107,7 +107,7 @@
     ],
 )
 def test_the_median_counts_and_of_two_the_older(others: list[Reading], wanted: int) -> None:
-    assert agreed([Reading(0, 5), *others]) == wanted
+    assert consensus_offset([Reading(0, 5), *others]) == wanted
 
 
 def answer_of(question: bytes, clock: int, age: int = 10**9) -> TellClock:
@@ -124,7 +124,7 @@
     large = survey(230)
     first = large.ask(0)
     asked = [question.to for question in first]
-    assert len(set(asked)) == len(asked) == ASKED_MOST and 0 not in asked
+    assert len(set(asked)) == len(asked) == MAX_QUERIED and 0 not in asked
     for question in first[:4]:
         assert question.to is not None
         large.heard(question.to, answer_of(question.data, HOUR), 2_000)
@@ -191,7 +191,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(shared_clock, "FIRST_WAIT", 0.05)
+        monkeypatch.setattr(shared_clock, "FIRST_DELAY", 0.05)
         loop, places = asyncio.get_running_loop(), (*free(), *free())[:3]
         clock, others = await asking(places), Others(places, loop)
         await clock.begin()
