--- a/lynxreel/metering/__init__.py
+++ b/lynxreel/metering/__init__.py
@@ -1,1 +1,1 @@
-"""How far the shared counter is to be trusted, and what it is given back when it has lost something."""
+"""Health of the shared counter: detects lost increments and restores them."""
--- a/lynxreel/metering/guarded.py
+++ b/lynxreel/metering/guarded.py
@@ -1,4 +1,4 @@
-"""The shell round `Trust`: stands between the engine and a counter, with one timer."""
+"""Runs `Trust` between the engine and a counter client, with one timer."""
 
 from __future__ import annotations
 
@@ -7,83 +7,87 @@
 from typing import Any, Protocol
 
 from lynxreel.log import log
-from lynxreel.metering.trust import Action, Call, Pass, Told, Trust
+from lynxreel.metering.trust import Action, Call, Forward, StateChange, Trust
 from mothgap.interface import Counted, CountedLate
 
 Post = Callable[[Counted | CountedLate], None]
 
 
-class Adds(Protocol):
-    """A counter, over whatever protocol."""
+class CounterClient(Protocol):
+    """A client of the counter service, whatever its protocol."""
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
-        """Add; exactly one Counted follows."""
+        """Add to a name; exactly one Counted follows."""
 
 
 class Guarded:
-    """A counter whose totals are watched; the engine calls it like any other."""
+    """A counter whose totals are monitored; the engine uses it like any other counter."""
 
     def __init__(
-        self, trust: Trust, post: Post, now: Callable[[], int], loop: asyncio.AbstractEventLoop
+        self, monitor: Trust, post: Post, now: Callable[[], int], loop: asyncio.AbstractEventLoop
     ) -> None:
-        self.counter: Adds
-        self._trust, self._post, self._now, self._loop = trust, post, now, loop
+        self.counter: CounterClient
+        self._monitor, self._post, self._now, self._loop = monitor, post, now, loop
         self._elapsed = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0
+        self._timer_due = 0
 
     def told(self) -> dict[str, Any]:
-        """What operators read."""
-        trust = self._trust
-        return {"state": trust.state.value, "losses": trust.losses, "given_back": round(trust.given_back, 3)}
+        """The counter's state for operators, by the keys of the status document."""
+        monitor = self._monitor
+        return {
+            "state": monitor.state.value,
+            "losses": monitor.losses,
+            "given_back": round(monitor.restored, 3),
+        }
 
     def believes(self, name: int) -> dict[str, float]:
-        """What is known of a name, for the operators."""
-        return self._trust.believes(name)
+        """What is known of a name, for operators; empty where it is not known."""
+        return self._monitor.believes(name)
 
     def start(self) -> None:
-        """Begin to beat; `counter` is set by now."""
-        self._wake()
+        """Start sending beats; `counter` has to be set before."""
+        self._on_timer()
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
-        """The module's call."""
-        self._trust.called(self._now(), name, amount, lifetime)
+        """Add to a name on behalf of the decision module."""
+        self._monitor.on_call(self._now(), name, amount, lifetime)
         self.counter.add(name, amount, lifetime)
 
     def heard(self, event: Counted | CountedLate) -> None:
-        """What the counter answered."""
+        """Take an answer of the counter, and post to the engine what the module is to get."""
         if isinstance(event, CountedLate):
-            self._trust.late(self._now(), event.name, event.amount)
+            self._monitor.on_late_total(self._now(), event.name, event.amount)
             self._post(event)
             return
         self._elapsed = event.elapsed
-        self._do(self._trust.answered(self._now(), event.name, event.result, event.total))
+        self._execute(self._monitor.on_answer(self._now(), event.name, event.result, event.total))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Pass():
+                case Forward():
                     self._post(Counted(action.name, action.result, self._elapsed, action.total))
                 case Call():
                     self.counter.add(action.name, action.amount, action.lifetime)
-                case Told():
+                case StateChange():
                     log(f"the counter is {action.state.value}: {action.why}")
-        self._arm()
+        self._set_timer()
 
-    def _arm(self) -> None:
-        """One timer, at the time that is wanted now."""
-        due = self._trust.due()
-        if self._timer is None or self._due > due:
+    def _set_timer(self) -> None:
+        """Set the timer, or move it to an earlier time where that is needed."""
+        due = self._monitor.due()
+        if self._timer is None or self._timer_due > due:
             if self._timer is not None:
                 self._timer.cancel()
-            self._due = due
-            self._timer = self._loop.call_later(max(0, due - self._now()) / 1e6, self._wake)
+            self._timer_due = due
+            self._timer = self._loop.call_later(max(0, due - self._now()) / 1e6, self._on_timer)
 
-    def _wake(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._do(self._trust.woken(self._now()))
+        self._execute(self._monitor.on_timer(self._now()))
 
     def close(self) -> None:
-        """The end."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
--- a/lynxreel/metering/trust.py
+++ b/lynxreel/metering/trust.py
@@ -1,28 +1,30 @@
-"""The counter's health, without I/O: calls and answers in, what to pass on and what to call besides out.
+"""Monitors the shared counter without I/O: takes calls and answers, returns what to forward and extra calls.
 
-It stands between the decisions and the counter. The module goes on adding before each request goes on; this
-watches what comes back, and mends the counter where that can be proved to have lost adds:
+It sits between the decision module and the counter. The module adds to the counter before it forwards each
+request. This monitor checks the totals that come back, and repairs the counter where it has provably lost
+increments:
 
 - A *marker* is a name that only this gateway adds to, 1 at each beat. Its total is known in advance, whatever
-  the others do. One that is too low proves that adds are gone, and which: beats are adds like any others, so
-  what was confirmed before the last beat that survived is there still, and later adds may be gone.
-- Each gateway gives back what it has itself added to the names that are alive, and nothing else. So what was
-  known of a window comes back whole and once, with no word between the gateways, also where two counters
-  lived side by side and their halves meet again.
-- A total below what this gateway alone has added to a name, or one that falls further than others can have
-  given back, is a contradiction. The marker tells whether the counter has lost adds; where it has not, the
-  name is read again: it alone may be gone (evicted), or the total was a lie.
-- A replica that lags looks like a loss. It catches up when no beat is added for a while; a loss does not. So
-  only beats that were confirmed more than LAG before a reading can be found missing by it: where some are
-  there, the marker is read again until the last beat is so old; where none is, the first one has to be. Adds
-  to a name can be found missing once a beat that was sent after them is there.
-
-Until a loss is mended, the module is told totals to which its own missing adds are added, and that never
-fall: it would take a fall for units that others gave back.
-
-States: TRUSTED, SLOW (answers late), AWAY (no answers), SUSPECT (its totals contradict what is known),
-REPLACED (it has lost adds, which are being given back), REJOINING (answers again; not proved yet to be the
-same one).
+  other gateways do. One that is too low proves that increments were lost, and which: beats are increments
+  like any others, so what was confirmed before the last surviving beat is still there, and what came later
+  may be lost.
+- Each gateway restores what it has itself added to names that have not expired, and nothing else. So the
+  known use of a window is restored completely and once, without messages between gateways, even where two
+  counters ran side by side and their gateways meet again on one of them.
+- A total below what this gateway alone has added to a name, or one that drops further than refunds by other
+  gateways can explain, is a contradiction. The marker shows whether the counter has lost increments. Where it
+  has not, the name is read again: either this name alone was evicted, or the total was wrong.
+- A lagging replica looks like a loss. It catches up when no beat is added for a while; a loss does not. So a
+  reading can only prove the loss of beats that were confirmed more than MAX_REPLICA_LAG before it: where some
+  beats are there, the marker is read again until the last beat is that old; where none is, until the first
+  one is. Increments of a name can be found missing once a beat that was sent after them is there.
+
+Until a loss is repaired, the totals forwarded to the module include its own missing increments and never
+drop: the module would take a drop for refunds by other gateways.
+
+States: TRUSTED, SLOW (answers are late), AWAY (no answers), SUSPECT (its totals contradict what is known),
+REPLACED (it has lost increments, which are being restored), REJOINING (it answers again, and has not been
+verified yet to be the same counter).
 """
 
 from __future__ import annotations
@@ -35,25 +37,28 @@
 from mothgap.interface import Result
 
 SECOND = 1_000_000  # microseconds
-LIFE = 60 * SECOND  # the longest that a counter keeps a name
-MARKER_SPAN = 25 * SECOND  # after which a new marker begins: well within the life of the old one
-MARKER_OLD = 50 * SECOND  # after which one may have ended: it proves nothing any more
-LOOKS = (100_000, 300_000, 700_000, 1_000_000)  # microseconds after a doubt at which the marker is read again
-SOON = 50_000  # microseconds between beats that prove what a name has lost
-PAY_AFTER = 300_000  # microseconds in which all who added to a name that was dropped find out
-LAG = 900_000  # microseconds by which a replica may be late; it is still the same counter
-AWAY_AFTER = 3  # calls failed in a row, each sent after the one before had failed
-SLOW_PART = 0.5  # of the time limit; a running mean of answers above it is slow
-SMOOTH = 0.1  # share of a new answer in that mean
-EVER = 2  # beats at which a marker that starts anew is a loss: of fewer, a lie would be as likely
-STEADY = 2 * SECOND  # a mended counter's totals may not fall for so long: others are giving back, too
-SLACK = 0.5  # units by which totals may differ from what is known: seven digits are exact
-BUCKET = 200_000  # microseconds of own adds that are remembered as one
-MARKERS = 1 << 62  # markers have names of their own, above all those of customers
+MAX_NAME_LIFETIME = 60 * SECOND  # microseconds; the longest lifetime of a name on a counter
+MARKER_ROTATION = 25 * SECOND  # microseconds until a new marker begins: well within the old one's lifetime
+MARKER_EXPIRY = 50 * SECOND  # microseconds until a marker may have expired: it proves nothing any more
+# Microseconds after a contradiction at which the marker is read again.
+RECHECK_DELAYS = (100_000, 300_000, 700_000, 1_000_000)
+MIN_BEAT_GAP = 50_000  # microseconds between beats that are to prove what a name has lost
+RESTORE_DELAY = 300_000  # microseconds in which every gateway that added to an evicted name notices the loss
+MAX_REPLICA_LAG = 900_000  # microseconds by which a replica may lag and still count as the same counter
+AWAY_FAILURES = 3  # consecutive failed calls, each sent after the previous one had failed
+SLOW_SHARE = 0.5  # of the time limit; the counter is slow where the mean latency exceeds it
+SMOOTHING = 0.1  # weight of a new answer in that mean
+# Beats from which on a marker that restarts from 0 counts as lost; with fewer, a wrong total is as likely.
+MIN_RESTART_BEATS = 2
+# Microseconds after a loss in which forwarded totals may not drop: other gateways are restoring, too.
+SETTLE_DURATION = 2 * SECOND
+TOTAL_TOLERANCE = 0.5  # units by which totals may differ from what is known: only seven digits are exact
+MERGE_INTERVAL = 200_000  # microseconds; this gateway's increments within it are recorded as one batch
+MARKERS = 1 << 62  # the lowest marker name; all names of customers are below it
 
 
 class State(Enum):
-    """How far the counter is trusted; the values are what operators read."""
+    """How far the counter is trusted; operators see the values."""
 
     TRUSTED = "trusted"
     SLOW = "slow"
@@ -65,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Add to a name now; its answer comes to `answered` like all others."""
+    """Add to a name now; the answer goes to `on_answer` like all others."""
 
     name: int
     amount: float
@@ -73,8 +78,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
-    """Tell the module of its call's outcome."""
+class Forward:
+    """Forward the outcome of a call to the module that made it."""
 
     name: int
     result: Result
@@ -82,432 +87,463 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """The state has changed, and why: for the operators."""
+class StateChange:
+    """The state has changed, and why; for the log."""
 
     state: State
     why: str
 
 
-Action = Call | Pass | Told
+Action = Call | Forward | StateChange
 
 
 @dataclass(slots=True)
-class _Out:
-    """A call that is out; `ours` where the module did not make it."""
+class _PendingCall:
+    """A call without an answer yet; `internal` where this monitor made it and not the module."""
 
     amount: float
-    sent: int
-    ours: bool
+    sent_at: int
+    internal: bool
 
 
 @dataclass(slots=True)
-class _Adds:
-    """Own adds that were confirmed within a short time."""
+class _IncrementBatch:
+    """Increments by this gateway that were confirmed within a short time."""
 
-    first: int
-    last: int
+    first: int  # when the first was confirmed
+    last: int  # when the last was confirmed
     units: float
-    doubts: int  # how many had begun by then
-    held: int  # a bit for each counter that holds them: where they were added, and where given back
+    suspicions: int  # number of suspicions raised before the batch was confirmed
+    counter_bits: int  # bit set of the counters that hold them: where they were added, and where restored
 
 
 @dataclass(slots=True)
-class _Name:
+class _NameRecord:
     """What this gateway knows of one name."""
 
-    until: int  # when its life ends
-    own: float = 0.0  # own adds that the counter has confirmed
-    missing: float = 0.0  # of these, what it has lost and not been given back
-    told: float = 0.0  # the last total that the module heard
-    doubt: float = 0.0  # own adds whose answers never came: they may be there or not
-    adds: deque[_Adds] = field(default_factory=deque)
-    asked: float = -1.0  # own adds before a total that contradicted them, until a second reading
+    expires_at: int  # when its lifetime ends
+    own: float = 0.0  # this gateway's increments that the counter has confirmed
+    missing: float = 0.0  # of these, those lost by the counter and not restored yet
+    forwarded: float = 0.0  # the last total that was forwarded to the module
+    unconfirmed: float = 0.0  # increments whose answers never came: the counter may hold them or not
+    increments: deque[_IncrementBatch] = field(default_factory=deque)
+    disputed: float = -1.0  # `own` less `missing` at a contradicting total, until a second reading; else -1
 
-    def confirm(self, now: int, amount: float, doubts: int, held: int, beat_at: int) -> None:
-        """The counter has this add; so many doubts have begun before, and the last beat was sent then.
+    def confirm(self, now: int, amount: float, suspicions: int, counter_bits: int, last_beat_at: int) -> None:
+        """Record an increment that the counter has confirmed; `last_beat_at`: when the last beat was sent.
 
-        Adds on both sides of a beat are never remembered as one: where it survives, so do those before it.
+        Increments before and after a beat never share a batch: if the beat survives, so do those before it.
         """
         self.own += amount
-        last = self.adds[-1] if self.adds else None
-        is_recent = last is not None and last.first >= max(beat_at, now - BUCKET + 1)
-        if last is not None and is_recent and (last.doubts, last.held) == (doubts, held):
+        last = self.increments[-1] if self.increments else None
+        is_recent = last is not None and last.first >= max(last_beat_at, now - MERGE_INTERVAL + 1)
+        if (
+            last is not None
+            and is_recent
+            and (last.suspicions, last.counter_bits) == (suspicions, counter_bits)
+        ):
             last.last, last.units = now, last.units + amount
         else:
-            self.adds.append(_Adds(now, now, amount, doubts, held))
+            self.increments.append(_IncrementBatch(now, now, amount, suspicions, counter_bits))
 
 
 @dataclass(slots=True)
 class _Marker:
-    """The name that only this gateway adds to."""
+    """A name that only this gateway adds to."""
 
     name: int
-    began: int
-    bit: int  # of the counter that it is on
-    beats: int = 0  # confirmed
-    doubt: int = 0  # whose answers never came
+    created_at: int
+    counter_bit: int  # of the counter that holds it
+    beats: int = 0  # confirmed and verified
+    unconfirmed: int = 0  # beats whose answers never came
     first_at: int = 0  # when the first beat was confirmed
-    last_at: int = 0  # when the last one was
-    # When each confirmed beat was sent: all that was confirmed before then is as safe as the beat.
-    sent: list[int] = field(default_factory=list)
-    fresh: list[int] = field(default_factory=list)  # the same of beats that no reading has proved yet
+    last_at: int = 0  # when the last beat was confirmed
+    # When each verified beat was sent: increments confirmed before then are as safe as the beat.
+    sent_at: list[int] = field(default_factory=list)
+    unverified: list[int] = field(default_factory=list)  # the same for beats that no reading has verified yet
 
 
 class Trust:
     """One gateway's view of one counter. Times are microseconds on the engine's clock."""
 
-    def __init__(self, nonce: int, time_limit: int, beat: int, fall: float, now: int) -> None:
-        """`nonce` sets this life of the gateway apart from all others; `beat` is the span between beats.
+    def __init__(self, nonce: int, time_limit: int, beat_interval: int, max_drop: float, now: int) -> None:
+        """`nonce` distinguishes this run of the gateway from all others; `beat_interval`: time between beats.
 
-        `fall` is how far a total may fall at once by what others give back.
+        `max_drop`: units by which a total may drop at once because of refunds by other gateways.
         """
         self.state = State.TRUSTED
-        self.time_limit, self.fall = time_limit, fall
-        self.given_back = 0.0  # units, since the start
-        self.losses = 0  # that were proved
-        self._beat, self._nonce = beat, nonce & ((1 << 36) - 1)
-        self._names: OrderedDict[int, _Name] = OrderedDict()
-        self._out: dict[int, deque[_Out]] = {}
+        self.time_limit, self.max_drop = time_limit, max_drop
+        self.restored = 0.0  # units restored to counters since the start
+        self.losses = 0  # proved losses
+        self._beat_interval, self._nonce = beat_interval, nonce & ((1 << 36) - 1)
+        self._records: OrderedDict[int, _NameRecord] = OrderedDict()
+        self._pending: dict[int, deque[_PendingCall]] = {}
         self._markers = 0
         self._marker = self._new_marker(now, 1)
-        self._past: list[_Marker] = []  # of counters that were left: one of them may come back
+        self._former_markers: list[_Marker] = []  # of counters that were replaced: one of them may come back
         self._probes: dict[int, _Marker] = {}  # of these, the ones that are being read
-        self._failed, self._failed_at = 0, now - LIFE
-        self._mean = 0.0  # running mean of answer times
-        self._looks: deque[int] = deque()  # when the marker is to be read again; beats rest meanwhile
-        self._seen = -1  # beats that the last look found
-        self._doubts = 0  # so far; what was confirmed after the last one began is in what answers now
-        self._doubtful: set[int] = set()  # names whose totals are to be read again once the marker is proved
-        self._unpaid: dict[int, float] = {}  # what could not be given back: to be tried at the next beat
-        self._pay_at = now  # before which it is not
-        self._steady_until = now
-        self._beat_at = now
-        self._beat_sent_at = now  # the last one
+        self._failed, self._failed_at = 0, now - MAX_NAME_LIFETIME
+        self._mean_latency = 0.0  # running mean of answer times in microseconds
+        self._rechecks: deque[int] = deque()  # when the marker is to be read again; beats pause meanwhile
+        self._last_reading = -1  # beats found by the last reading
+        self._suspicions = 0  # so far; what was confirmed after the last one is on the present counter
+        self._disputed_names: set[int] = set()  # names to be read again once the marker is verified
+        self._pending_restores: dict[int, float] = {}  # units by name, to be restored at the next beat
+        self._restore_at = now  # not before this time
+        self._settled_at = now  # until then forwarded totals may not drop
+        self._next_beat_at = now
+        self._last_beat_at = now  # when the last beat was sent
 
     def believes(self, name: int) -> dict[str, float]:
-        """What is known of a name, for the operators; nothing where it is not known here."""
-        known = self._names.get(name)
-        if known is None:
+        """What is known of a name, for operators; empty where this gateway does not know it."""
+        record = self._records.get(name)
+        if record is None:
             return {}
-        return {"own": known.own, "missing": known.missing, "doubt": known.doubt, "told": known.told}
+        return {
+            "own": record.own,
+            "missing": record.missing,
+            "doubt": record.unconfirmed,
+            "told": record.forwarded,
+        }
 
     # --- calls ------------------------------------------------------------------------------------------
 
-    def called(self, now: int, name: int, amount: float, lifetime: int) -> None:
-        """The module's call goes out."""
+    def on_call(self, now: int, name: int, amount: float, lifetime: int) -> None:
+        """The module is about to send a call."""
         self._register(now, name, amount, lifetime, False)
 
-    def _register(self, now: int, name: int, amount: float, lifetime: int, ours: bool) -> None:
-        self._out.setdefault(name, deque()).append(_Out(amount, now, ours))
-        if name >= MARKERS or name in self._names:
+    def _register(self, now: int, name: int, amount: float, lifetime: int, internal: bool) -> None:
+        self._pending.setdefault(name, deque()).append(_PendingCall(amount, now, internal))
+        if name >= MARKERS or name in self._records:
             return
-        self._names[name] = _Name(now + min(LIFE, lifetime))
-        # Two looks for each new name: those whose lives have ended are let go, the oldest first.
-        for old in list(islice(self._names, 2)):
-            if self._names[old].until < now and old not in self._out:
-                del self._names[old]
+        self._records[name] = _NameRecord(now + min(MAX_NAME_LIFETIME, lifetime))
+        # Each new name checks the two oldest ones, and removes those that have expired.
+        for old in list(islice(self._records, 2)):
+            if self._records[old].expires_at < now and old not in self._pending:
+                del self._records[old]
 
-    def _call(self, now: int, name: int, amount: float, lifetime: int = LIFE) -> Call:
+    def _call(self, now: int, name: int, amount: float, lifetime: int = MAX_NAME_LIFETIME) -> Call:
         self._register(now, name, amount, lifetime, True)
         return Call(name, amount, lifetime)
 
     # --- answers ----------------------------------------------------------------------------------------
 
-    def answered(self, now: int, name: int, result: Result, total: float) -> list[Action]:
-        """A call's one outcome; calls of one name end in their order."""
-        waiting = self._out[name]
-        call = waiting.popleft()
-        if not waiting:
-            del self._out[name]
-        actions = self._health(now, call, result)
+    def on_answer(self, now: int, name: int, result: Result, total: float) -> list[Action]:
+        """Take the outcome of a call; calls of one name end in the order of sending."""
+        pending = self._pending[name]
+        call = pending.popleft()
+        if not pending:
+            del self._pending[name]
+        actions = self._update_health(now, call, result)
         if name >= MARKERS:
             if result is Result.OK:
-                actions += self._marked(now, name, call, total)
+                actions += self._on_marker_total(now, name, call, total)
             elif name in self._probes:
-                actions += self._probed(now, name, 0.0)
+                actions += self._on_probe_total(now, name, 0.0)
             elif not result.never_ran and call.amount and name == self._marker.name:
-                self._marker.doubt += 1
+                self._marker.unconfirmed += 1
             return actions
-        known = self._names[name]
+        record = self._records[name]
         if result is Result.OK:
-            return actions + self._total(now, name, known, call, total)
-        if call.ours and not call.amount and known.asked >= 0:
-            self._doubtful.add(name)  # the second reading failed: again with the next beat
+            return actions + self._on_total(now, name, record, call, total)
+        if call.internal and not call.amount and record.disputed >= 0:
+            self._disputed_names.add(name)  # the second reading failed: repeat it after the next beat
         if not result.never_ran:
-            known.doubt += abs(call.amount)
-            known.missing -= call.amount if call.ours else 0.0
-        elif call.ours:
-            self._unpaid[name] = self._unpaid.get(name, 0.0) + call.amount
-        return actions if call.ours else [*actions, Pass(name, result, total)]
-
-    def late(self, now: int, name: int, amount: float) -> None:
-        """A total came for a call that had ended without one: its add was made after all."""
-        known = self._names.get(name)
-        if known is not None:
-            known.doubt = max(0.0, known.doubt - abs(amount))
-            known.confirm(now, amount, self._doubts, self._marker.bit, self._beat_sent_at)
-
-    def _total(self, now: int, name: int, known: _Name, call: _Out, total: float) -> list[Action]:
-        if call.ours:
+            record.unconfirmed += abs(call.amount)
+            record.missing -= call.amount if call.internal else 0.0
+        elif call.internal:
+            self._pending_restores[name] = self._pending_restores.get(name, 0.0) + call.amount
+        return actions if call.internal else [*actions, Forward(name, result, total)]
+
+    def on_late_total(self, now: int, name: int, amount: float) -> None:
+        """A total arrived for a call that had ended without one: its increment was made after all."""
+        record = self._records.get(name)
+        if record is not None:
+            record.unconfirmed = max(0.0, record.unconfirmed - abs(amount))
+            record.confirm(now, amount, self._suspicions, self._marker.counter_bit, self._last_beat_at)
+
+    def _on_total(
+        self, now: int, name: int, record: _NameRecord, call: _PendingCall, total: float
+    ) -> list[Action]:
+        if call.internal:
             if not call.amount:
-                return self._read_again(now, name, known, total)
-            known.missing = max(0.0, known.missing - call.amount)
-            return self._mended(now)
-        before = known.own - known.missing
-        low = before + call.amount - known.doubt - total > SLACK
-        fallen = known.told + call.amount - known.missing - total > self.fall
+                return self._on_reread(now, name, record, total)
+            record.missing = max(0.0, record.missing - call.amount)
+            return self._trust_if_consistent(now)
+        before = record.own - record.missing
+        low = before + call.amount - record.unconfirmed - total > TOTAL_TOLERANCE
+        dropped = record.forwarded + call.amount - record.missing - total > self.max_drop
         actions: list[Action] = []
-        if (low or fallen) and known.until > now and known.asked < 0:
-            known.asked = before
-            self._doubtful.add(name)
-            actions += self._suspect(now, f"a total of {total:g} where {known.told:g} was told before")
-        known.confirm(now, call.amount, self._doubts, self._marker.bit, self._beat_sent_at)
-        told = total + known.missing
-        if low or fallen or known.asked >= 0 or now < self._steady_until:
-            # Others give back what they had, too; until then a fall is a loss and no takeback.
-            told = max(told, known.told + call.amount)
-        known.told = told
-        return [*actions, Pass(name, Result.OK, told)]
-
-    def _read_again(self, now: int, name: int, known: _Name, total: float) -> list[Action]:
-        """The second reading of a name whose total contradicted what is known; the marker has been proved."""
-        asked, known.asked = known.asked, -1.0
-        if asked < 0 or known.until <= now:
-            return self._mended(now)
-        lacking = known.own - known.missing - known.doubt - total
-        if lacking <= SLACK:
-            known.told = min(known.told, total + known.missing)  # a lie, or others gave back
-            return self._mended(now)
-        beaten = self._marker.sent[-1] if self._marker.sent else 0
-        if lacking <= sum(adds.units for adds in known.adds if adds.last >= beaten) + SLACK:
-            # A late replica would say the same. A beat, and soon: once it is there, so is what came before.
-            known.asked = asked
-            self._doubtful.add(name)
-            self._beat_at = min(self._beat_at, max(now, beaten + SOON))
+        if (low or dropped) and record.expires_at > now and record.disputed < 0:
+            record.disputed = before
+            self._disputed_names.add(name)
+            actions += self._suspect(now, f"a total of {total:g} after a total of {record.forwarded:g}")
+        record.confirm(now, call.amount, self._suspicions, self._marker.counter_bit, self._last_beat_at)
+        forwarded = total + record.missing
+        if low or dropped or record.disputed >= 0 or now < self._settled_at:
+            # Other gateways are restoring their increments, too: until then a drop is a loss, not a refund.
+            forwarded = max(forwarded, record.forwarded + call.amount)
+        record.forwarded = forwarded
+        return [*actions, Forward(name, Result.OK, forwarded)]
+
+    def _on_reread(self, now: int, name: int, record: _NameRecord, total: float) -> list[Action]:
+        """Evaluate the second reading of a name with a contradicting total; the marker has been verified."""
+        disputed, record.disputed = record.disputed, -1.0
+        if disputed < 0 or record.expires_at <= now:
+            return self._trust_if_consistent(now)
+        shortfall = record.own - record.missing - record.unconfirmed - total
+        if shortfall <= TOTAL_TOLERANCE:
+            # The total was wrong, or others refunded.
+            record.forwarded = min(record.forwarded, total + record.missing)
+            return self._trust_if_consistent(now)
+        last_beat_at = self._marker.sent_at[-1] if self._marker.sent_at else 0
+        if (
+            shortfall
+            <= sum(batch.units for batch in record.increments if batch.last >= last_beat_at) + TOTAL_TOLERANCE
+        ):
+            # A lagging replica would show the same. Beat soon: once that beat is there, so is all before it.
+            record.disputed = disputed
+            self._disputed_names.add(name)
+            self._next_beat_at = min(self._next_beat_at, max(now, last_beat_at + MIN_BEAT_GAP))
             return []
-        # The name was dropped, with all that was in it before the first low total: own adds are given back.
+        # The name was evicted with all that it held before the first low total: restore this gateway's part.
         self.losses += 1
-        self._steady_until = now + STEADY
-        gone = [adds for adds in known.adds if adds.doubts < self._doubts]
-        calls = self._give_back(now, name, known, gone)
-        for call in calls:  # not yet: it would hide from others that theirs is gone, too
-            if not self._unpaid:
-                self._pay_at = now + PAY_AFTER
-            self._unpaid[name] = self._unpaid.get(name, 0.0) + call.amount
-        return [] if calls else self._mended(now)
-
-    def _give_back(self, now: int, name: int, known: _Name, gone: list[_Adds]) -> list[Call]:
-        """What adds again what is lost of a name; it may be lost once more, hence its new time."""
-        units = sum(adds.units for adds in gone)
-        for adds in gone:
-            adds.first = adds.last = now
-            adds.held |= self._marker.bit
-        if known.until <= now or abs(units) <= SLACK:
+        self._settled_at = now + SETTLE_DURATION
+        lost = [batch for batch in record.increments if batch.suspicions < self._suspicions]
+        calls = self._restore(now, name, record, lost)
+        # Not at once: it would hide from other gateways that their increments are lost, too.
+        for call in calls:
+            if not self._pending_restores:
+                self._restore_at = now + RESTORE_DELAY
+            self._pending_restores[name] = self._pending_restores.get(name, 0.0) + call.amount
+        return [] if calls else self._trust_if_consistent(now)
+
+    def _restore(self, now: int, name: int, record: _NameRecord, lost: list[_IncrementBatch]) -> list[Call]:
+        """Calls that add the lost increments again; they get a new time, as they may be lost once more."""
+        units = sum(batch.units for batch in lost)
+        for batch in lost:
+            batch.first = batch.last = now
+            batch.counter_bits |= self._marker.counter_bit
+        if record.expires_at <= now or abs(units) <= TOTAL_TOLERANCE:
             return []
-        known.missing += units
-        self.given_back += units
-        return [Call(name, units, known.until - now)]
+        record.missing += units
+        self.restored += units
+        return [Call(name, units, record.expires_at - now)]
 
-    def _mended(self, now: int) -> list[Action]:
-        """Back to trust, once nothing is in doubt and all is given back."""
-        if self.state not in (State.SUSPECT, State.REPLACED) or self._looks:
+    def _trust_if_consistent(self, now: int) -> list[Action]:
+        """Return to TRUSTED once no name is disputed and everything is restored."""
+        if self.state not in (State.SUSPECT, State.REPLACED) or self._rechecks:
             return []
-        alive = (known for known in self._names.values() if known.until > now)
-        if any(known.asked >= 0 or known.missing > SLACK for known in alive):
+        alive = (record for record in self._records.values() if record.expires_at > now)
+        if any(record.disputed >= 0 or record.missing > TOTAL_TOLERANCE for record in alive):
             return []
-        return self._become(State.TRUSTED, "it holds all that was added")
+        return self._set_state(State.TRUSTED, "it holds all increments")
 
     # --- the marker -------------------------------------------------------------------------------------
 
-    def _new_marker(self, now: int, bit: int) -> _Marker:
+    def _new_marker(self, now: int, counter_bit: int) -> _Marker:
         self._markers += 1
-        return _Marker(MARKERS | self._nonce << 20 | self._markers & 0xFFFFF, now, bit)
+        return _Marker(MARKERS | self._nonce << 20 | self._markers & 0xFFFFF, now, counter_bit)
 
     def _suspect(self, now: int, why: str) -> list[Action]:
-        """Read the marker now, and again until it is clear what has happened."""
-        if self._looks or self.state is State.AWAY:
+        """Read the marker now, and again until the cause is clear."""
+        if self._rechecks or self.state is State.AWAY:
             return []
-        self._looks.extend(now + wait for wait in (0, *LOOKS))
-        self._seen, self._doubts = -1, self._doubts + 1
-        return self._become(State.SUSPECT, why)
+        self._rechecks.extend(now + delay for delay in (0, *RECHECK_DELAYS))
+        self._last_reading, self._suspicions = -1, self._suspicions + 1
+        return self._set_state(State.SUSPECT, why)
 
-    def _marked(self, now: int, name: int, call: _Out, total: float) -> list[Action]:
-        """The marker's total: it proves that all is there, or what is not."""
+    def _on_marker_total(self, now: int, name: int, call: _PendingCall, total: float) -> list[Action]:
+        """Evaluate a total of the marker: it proves that all increments are there, or which are lost."""
         if name in self._probes:
-            return self._probed(now, name, total)
+            return self._on_probe_total(now, name, total)
         marker = self._marker
         if name != marker.name:
             return []
-        found = round(total)
+        reading = round(total)
         if call.amount:
-            marker.fresh.append(call.sent)  # it was added, whatever the total says
+            marker.unverified.append(call.sent_at)  # it was added, whatever the total is
             marker.first_at, marker.last_at = marker.first_at or now, now
-        wanted = marker.beats + len(marker.fresh)
-        if abs(total - found) > 0.01 or found < 0:
-            return self._suspect(now, f"a marker of {total:g}")  # a lie: it has whole beats only
-        if found > wanted + marker.doubt:
-            agreed, self._seen = self._seen == found, found
-            if not agreed or call.amount:  # a second reading alike is believed: beats went uncounted here
-                return self._suspect(now, f"a marker of {found} where {wanted} beats were added")
-        if found >= marker.beats + len(marker.fresh):
-            # Beats whose answers never came are there, too; the time of the last one will do for them.
-            marker.sent += [*marker.fresh, *[call.sent] * (found - marker.beats - len(marker.fresh))]
-            marker.beats, marker.doubt = found, 0
-            marker.fresh.clear()
-            return self._proved(now)
-        actions = self._suspect(now, f"a marker of {found} where {wanted} beats were added")
+        expected = marker.beats + len(marker.unverified)
+        if abs(total - reading) > 0.01 or reading < 0:
+            return self._suspect(now, f"a marker of {total:g}")  # wrong: a marker is a whole number
+        if reading > expected + marker.unconfirmed:
+            repeated, self._last_reading = self._last_reading == reading, reading
+            # A repeated reading is believed: beats were added that are not recorded here.
+            if not repeated or call.amount:
+                return self._suspect(now, f"a marker of {reading} where {expected} beats were added")
+        if reading >= marker.beats + len(marker.unverified):
+            # Beats whose answers never came are there, too; this call's time of sending stands for theirs.
+            marker.sent_at += [
+                *marker.unverified,
+                *[call.sent_at] * (reading - marker.beats - len(marker.unverified)),
+            ]
+            marker.beats, marker.unconfirmed = reading, 0
+            marker.unverified.clear()
+            return self._on_marker_verified(now)
+        actions = self._suspect(now, f"a marker of {reading} where {expected} beats were added")
         if call.amount:
-            return actions  # a reading follows
-        survived = max(0, found - len(marker.fresh))
-        agreed, self._seen = self._seen == survived, survived
-        if not agreed and survived == 0:
-            self._looks.appendleft(now)  # it begins anew: a lie would hardly say so twice
-        anew = survived == 0 and marker.beats >= EVER
-        if agreed and call.sent >= (marker.first_at if anew else marker.last_at) + LAG:
-            return actions + self._lost(now, survived)
+            return actions  # a reading without an increment follows
+        survived = max(0, reading - len(marker.unverified))
+        repeated, self._last_reading = self._last_reading == survived, survived
+        if not repeated and survived == 0:
+            self._rechecks.appendleft(now)  # it restarts from 0: a wrong total is unlikely to repeat that
+        restarted = survived == 0 and marker.beats >= MIN_RESTART_BEATS
+        if repeated and call.sent_at >= (marker.first_at if restarted else marker.last_at) + MAX_REPLICA_LAG:
+            return actions + self._on_beats_lost(now, survived)
         return actions
 
-    def _proved(self, now: int) -> list[Action]:
-        """All own beats are there: it is the counter that it was. What is in doubt is read again."""
-        self._looks.clear()
-        doubtful, self._doubtful = self._doubtful, set()
+    def _on_marker_verified(self, now: int) -> list[Action]:
+        """All beats are there, so it is the same counter as before. Disputed names are read again."""
+        self._rechecks.clear()
+        disputed_names, self._disputed_names = self._disputed_names, set()
         actions: list[Action] = []
-        for name in doubtful:
-            known = self._names.get(name)
-            if known is not None and known.until > now:
-                actions.append(self._call(now, name, 0.0, known.until - now))
+        for name in disputed_names:
+            record = self._records.get(name)
+            if record is not None and record.expires_at > now:
+                actions.append(self._call(now, name, 0.0, record.expires_at - now))
         if self.state is State.REJOINING:
-            actions += self._become(State.TRUSTED, "it is the one that it was")
-        if now - self._marker.began > MARKER_SPAN:
-            # Only now: what is lost between the last beat on one and the first on the next is not seen.
-            self._marker, self._beat_at = self._new_marker(now, self._marker.bit), now
-        return actions + self._mended(now)
-
-    def _lost(self, now: int, survived: int) -> list[Action]:
-        """Beats are gone for good. Where none is left it is another counter: perhaps one that was left."""
+            actions += self._set_state(State.TRUSTED, "it is the same counter as before")
+        if now - self._marker.created_at > MARKER_ROTATION:
+            # Only now: a loss between the last beat of one marker and the first of the next is not detected.
+            self._marker, self._next_beat_at = self._new_marker(now, self._marker.counter_bit), now
+        return actions + self._trust_if_consistent(now)
+
+    def _on_beats_lost(self, now: int, survived: int) -> list[Action]:
+        """Beats are lost for good. Where none is left, this is another counter, perhaps a former one."""
         if survived:
-            return self._fallen_back(now, survived)
-        self._past = [marker for marker in self._past if now - marker.began < MARKER_OLD and marker.beats]
-        if not self._past:
-            return self._replaced(now, None)
-        self._probes = {marker.name: marker for marker in self._past}
-        return [self._call(now, marker.name, 0.0) for marker in self._past]
-
-    def _probed(self, now: int, name: int, total: float) -> list[Action]:
-        """The marker of a counter that was left, as read on the one that answers now."""
+            return self._on_rollback(now, survived)
+        self._former_markers = [
+            marker
+            for marker in self._former_markers
+            if now - marker.created_at < MARKER_EXPIRY and marker.beats
+        ]
+        if not self._former_markers:
+            return self._on_replacement(now, None)
+        self._probes = {marker.name: marker for marker in self._former_markers}
+        return [self._call(now, marker.name, 0.0) for marker in self._former_markers]
+
+    def _on_probe_total(self, now: int, name: int, total: float) -> list[Action]:
+        """Evaluate the marker of a former counter as read on the present one."""
         marker = self._probes.pop(name)
-        if total + SLACK >= marker.beats:
-            return self._replaced(now, marker)
-        return self._replaced(now, None) if not self._probes else []
-
-    def _replaced(self, now: int, back: _Marker | None) -> list[Action]:
-        """Another counter answers, or one that was left is back: give it what it does not hold."""
-        left = self._marker
-        why = f"none of {left.beats} beats is there: own adds are given back"
-        actions = self._begin_giving(now, why)
-        self._past = [marker for marker in self._past if marker is not back]
-        self._past.append(left)
-        self._marker = back or self._new_marker(now, 1 << self._markers)
-        self._marker.fresh.clear()
-        left.fresh.clear()
-        bit = self._marker.bit
-        for name, known in self._names.items():
-            for adds in known.adds:
-                if adds.doubts >= self._doubts:
-                    adds.held = bit  # confirmed since the doubt began, and so by this one
-            known.missing = 0.0
-            gone = [adds for adds in known.adds if not adds.held & bit]
-            actions += self._now(now, self._give_back(now, name, known, gone))
-        self._beat_at = now
-        return actions + self._mended(now)
-
-    def _fallen_back(self, now: int, survived: int) -> list[Action]:
-        """The same counter without its last adds: give back what came after the last beat that is there."""
+        if total + TOTAL_TOLERANCE >= marker.beats:
+            return self._on_replacement(now, marker)
+        return self._on_replacement(now, None) if not self._probes else []
+
+    def _on_replacement(self, now: int, returned: _Marker | None) -> list[Action]:
+        """Another counter answers, or a former one is back: restore what it does not hold."""
+        previous = self._marker
+        why = f"none of {previous.beats} beats is there: restoring this gateway's increments"
+        actions = self._begin_restoring(now, why)
+        self._former_markers = [marker for marker in self._former_markers if marker is not returned]
+        self._former_markers.append(previous)
+        self._marker = returned or self._new_marker(now, 1 << self._markers)
+        self._marker.unverified.clear()
+        previous.unverified.clear()
+        counter_bit = self._marker.counter_bit
+        for name, record in self._records.items():
+            for batch in record.increments:
+                if batch.suspicions >= self._suspicions:
+                    # Confirmed since the suspicion was raised, and so by this counter.
+                    batch.counter_bits = counter_bit
+            record.missing = 0.0
+            lost = [batch for batch in record.increments if not batch.counter_bits & counter_bit]
+            actions += self._send_calls(now, self._restore(now, name, record, lost))
+        self._next_beat_at = now
+        return actions + self._trust_if_consistent(now)
+
+    def _on_rollback(self, now: int, survived: int) -> list[Action]:
+        """The same counter has lost its last increments: restore those after the last surviving beat."""
         marker = self._marker
-        since = marker.sent[survived - 1]
-        why = f"{marker.beats - survived} of {marker.beats} beats are gone: own adds are given back"
-        actions = self._begin_giving(now, why)
-        marker.sent = marker.sent[:survived] + marker.fresh
-        marker.beats = len(marker.sent)
-        marker.fresh.clear()
-        for name, known in self._names.items():
-            late = (adds for adds in known.adds if adds.last >= since and adds.doubts < self._doubts)
-            gone = [adds for adds in late if adds.held & marker.bit]
-            actions += self._now(now, self._give_back(now, name, known, gone))
-        return actions + self._mended(now)
-
-    def _now(self, now: int, calls: list[Call]) -> list[Call]:
+        since = marker.sent_at[survived - 1]
+        why = (
+            f"{marker.beats - survived} of {marker.beats} beats are lost: restoring this gateway's increments"
+        )
+        actions = self._begin_restoring(now, why)
+        marker.sent_at = marker.sent_at[:survived] + marker.unverified
+        marker.beats = len(marker.sent_at)
+        marker.unverified.clear()
+        for name, record in self._records.items():
+            candidates = (
+                batch
+                for batch in record.increments
+                if batch.last >= since and batch.suspicions < self._suspicions
+            )
+            lost = [batch for batch in candidates if batch.counter_bits & marker.counter_bit]
+            actions += self._send_calls(now, self._restore(now, name, record, lost))
+        return actions + self._trust_if_consistent(now)
+
+    def _send_calls(self, now: int, calls: list[Call]) -> list[Call]:
         return [self._call(now, call.name, call.amount, call.lifetime) for call in calls]
 
-    def _begin_giving(self, now: int, why: str) -> list[Action]:
-        self._looks.clear()
-        self._doubtful.clear()
+    def _begin_restoring(self, now: int, why: str) -> list[Action]:
+        self._rechecks.clear()
+        self._disputed_names.clear()
         self._probes.clear()
-        self._unpaid.clear()
+        self._pending_restores.clear()
         self.losses += 1
-        self._steady_until = now + STEADY
-        for known in self._names.values():
-            known.asked = -1.0
-        return self._become(State.REPLACED, why)
+        self._settled_at = now + SETTLE_DURATION
+        for record in self._records.values():
+            record.disputed = -1.0
+        return self._set_state(State.REPLACED, why)
 
     # --- health -----------------------------------------------------------------------------------------
 
-    def _health(self, now: int, call: _Out, result: Result) -> list[Action]:
+    def _update_health(self, now: int, call: _PendingCall, result: Result) -> list[Action]:
         if result is Result.OK:
             self._failed = 0
-            self._mean += SMOOTH * (now - call.sent - self._mean)
+            self._mean_latency += SMOOTHING * (now - call.sent_at - self._mean_latency)
             if self.state is State.AWAY:
                 return self._rejoin(now)
-            slow = self._mean > SLOW_PART * self.time_limit
+            slow = self._mean_latency > SLOW_SHARE * self.time_limit
             if slow and self.state is State.TRUSTED:
-                return self._become(State.SLOW, f"answers take {self._mean / 1e3:.0f} ms")
+                return self._set_state(State.SLOW, f"answers take {self._mean_latency / 1e3:.0f} ms")
             if not slow and self.state is State.SLOW:
-                return self._become(State.TRUSTED, "answers are prompt again")
-        elif result is not Result.FULL and call.sent >= self._failed_at:
+                return self._set_state(State.TRUSTED, "answers are prompt again")
+        elif result is not Result.FULL and call.sent_at >= self._failed_at:
             self._failed, self._failed_at = self._failed + 1, now
-            if self._failed >= AWAY_AFTER and self.state is not State.AWAY:
-                self._looks.clear()
-                return self._become(State.AWAY, f"{self._failed} calls failed one after another")
+            if self._failed >= AWAY_FAILURES and self.state is not State.AWAY:
+                self._rechecks.clear()
+                return self._set_state(State.AWAY, f"{self._failed} consecutive calls failed")
         return []
 
     def _rejoin(self, now: int) -> list[Action]:
-        """It answers again; whether it is the same one is for the marker to tell, at once."""
-        self._beat_at = now
-        if now - self._marker.began > MARKER_OLD:
-            self._marker = self._new_marker(now, self._marker.bit)
-        return self._become(State.REJOINING, "it answers again")
+        """It answers again; a beat at once shows by the marker whether it is the same counter."""
+        self._next_beat_at = now
+        if now - self._marker.created_at > MARKER_EXPIRY:
+            self._marker = self._new_marker(now, self._marker.counter_bit)
+        return self._set_state(State.REJOINING, "it answers again")
 
-    def _become(self, state: State, why: str) -> list[Action]:
+    def _set_state(self, state: State, why: str) -> list[Action]:
         if state is self.state:
             return []
         self.state = state
-        return [Told(state, why)]
+        return [StateChange(state, why)]
 
     # --- time -------------------------------------------------------------------------------------------
 
     def due(self) -> int:
-        """When `woken` is wanted."""
-        return self._looks[0] if self._looks else self._beat_at
+        """When `on_timer` is to be called next."""
+        return self._rechecks[0] if self._rechecks else self._next_beat_at
 
-    def woken(self, now: int) -> list[Action]:
-        """Time for a beat, or for another look at the marker."""
-        if self._looks:
-            if self._looks[0] > now:
+    def on_timer(self, now: int) -> list[Action]:
+        """Send a beat, or read the marker again, where that is due."""
+        if self._rechecks:
+            if self._rechecks[0] > now:
                 return []
-            self._looks.popleft()
-            if not self._looks:  # no verdict, as readings failed or changed: on it goes
-                self._looks.extend(now + wait for wait in LOOKS)
+            self._rechecks.popleft()
+            if not self._rechecks:  # inconclusive, as readings failed or changed: continue
+                self._rechecks.extend(now + delay for delay in RECHECK_DELAYS)
             return [self._call(now, self._marker.name, 0.0)]
-        if now < self._beat_at:
+        if now < self._next_beat_at:
             return []
-        self._beat_at = now + self._beat
+        self._next_beat_at = now + self._beat_interval
         actions: list[Action] = []
-        if self.state is not State.AWAY and now >= self._pay_at:
-            unpaid, self._unpaid = self._unpaid, {}
-            for name, amount in unpaid.items():
-                known = self._names.get(name)
-                if known is not None and known.until > now:
-                    actions.append(self._call(now, name, amount, known.until - now))
-        self._beat_sent_at = now
+        if self.state is not State.AWAY and now >= self._restore_at:
+            pending_restores, self._pending_restores = self._pending_restores, {}
+            for name, amount in pending_restores.items():
+                record = self._records.get(name)
+                if record is not None and record.expires_at > now:
+                    actions.append(self._call(now, name, amount, record.expires_at - now))
+        self._last_beat_at = now
         return [*actions, self._call(now, self._marker.name, 1.0)]
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lynxreel.metering.trust import MARKERS, Call, Pass, State, Told, Trust
+from lynxreel.metering.trust import MARKERS, Call, Forward, State, StateChange, Trust
 from mothgap.interface import Result
 
 MS, SECOND = 1_000, 1_000_000
@@ -41,7 +41,7 @@
         self.lie: float | None = None  # the next total
         self.away = False
         self.unread = 0  # readings of names whose answers never come
-        self.heard: list[list[Pass]] = [[] for _ in range(count)]
+        self.heard: list[list[Forward]] = [[] for _ in range(count)]
         self.states: list[list[State]] = [[] for _ in range(count)]
 
     def one_counter(self) -> Counter:
@@ -50,7 +50,7 @@
 
     def add(self, gateway: int, amount: float, name: int = NAME, life: int = 20 * SECOND) -> float:
         """The module's call and its total, as the module is told."""
-        self.trusts[gateway].called(self.now, name, amount, life)
+        self.trusts[gateway].on_call(self.now, name, amount, life)
         self._answer(gateway, Call(name, amount, life))
         return self.heard[gateway][-1].total
 
@@ -67,14 +67,14 @@
                 total -= sum(late)
             if self.lie is not None:
                 total, self.lie = self.lie, None
-        self._do(gateway, self.trusts[gateway].answered(self.now, call.name, result, total))
+        self._do(gateway, self.trusts[gateway].on_answer(self.now, call.name, result, total))
 
-    def _do(self, gateway: int, actions: list[Call | Pass | Told]) -> None:
+    def _do(self, gateway: int, actions: list[Call | Forward | StateChange]) -> None:
         for action in actions:
             match action:
-                case Pass():
+                case Forward():
                     self.heard[gateway].append(action)
-                case Told():
+                case StateChange():
                     self.states[gateway].append(action.state)
                 case Call():
                     self._answer(gateway, action)
@@ -86,7 +86,7 @@
             self.now = max(self.now, min(trust.due() for trust in self.trusts))
             for number, trust in enumerate(self.trusts):
                 if trust.due() <= self.now:
-                    self._do(number, trust.woken(self.now))
+                    self._do(number, trust.on_timer(self.now))
             self.now += 1 * MS
         self.now = max(self.now, end)
 
@@ -118,7 +118,7 @@
     fleet.wait(2 * BEAT)
     fresh = fleet.counters[0]
     assert (fresh.totals[NAME], fresh.totals[OTHER]) == (11.0, 10.0)
-    assert [trust.given_back for trust in fleet.trusts] == [10.0, 6.0, 4.0]
+    assert [trust.restored for trust in fleet.trusts] == [10.0, 6.0, 4.0]
     fleet.wait(3 * SECOND)
     assert [trust.state for trust in fleet.trusts] == [State.TRUSTED] * 3
     assert (fresh.totals[NAME], fresh.totals[OTHER]) == (11.0, 10.0)
@@ -217,7 +217,7 @@
     assert told == sorted(told) and told[0] >= 10.0  # no fall is passed on
     fleet.wait(5 * SECOND)
     assert State.SUSPECT in fleet.states[0]
-    assert sum(trust.given_back for trust in fleet.trusts) == 0.0
+    assert sum(trust.restored for trust in fleet.trusts) == 0.0
     fleet.lag = 0
     fleet.wait(3 * SECOND)
     assert counter.totals[NAME] == 13.0
@@ -236,7 +236,7 @@
     fleet.lag = 0
     fleet.wait(2 * SECOND)
     assert State.SUSPECT in fleet.states[0]
-    assert fleet.trusts[0].given_back == 0
+    assert fleet.trusts[0].restored == 0
     assert fleet.trusts[0].state is State.TRUSTED
 
 
@@ -324,7 +324,7 @@
     fleet.away = False
     fleet.wait(2 * SECOND)
     assert fleet.states[0] == [State.AWAY, State.REJOINING, State.TRUSTED]
-    assert fleet.trusts[0].given_back == 0.0
+    assert fleet.trusts[0].restored == 0.0
 
 
 def test_one_that_comes_back_empty_after_a_cut_is_given_back_what_was_lost() -> None:
@@ -360,14 +360,14 @@
     fleet.wait(3 * SECOND)
     trust, counter = fleet.trusts[0], fleet.counters[0]
     fleet.add(0, 4.0)
-    trust.called(fleet.now, NAME, 3.0, 20 * SECOND)  # it never arrived
-    assert trust.answered(fleet.now, NAME, Result.TIMEOUT, 0.0) == [Pass(NAME, Result.TIMEOUT, 0.0)]
+    trust.on_call(fleet.now, NAME, 3.0, 20 * SECOND)  # it never arrived
+    assert trust.on_answer(fleet.now, NAME, Result.TIMEOUT, 0.0) == [Forward(NAME, Result.TIMEOUT, 0.0)]
     assert fleet.add(0, 1.0) == 5.0
     assert fleet.states[0] == []
-    trust.called(fleet.now, NAME, 2.0, 20 * SECOND)  # it did, and its total comes late
-    trust.answered(fleet.now, NAME, Result.TIMEOUT, 0.0)
+    trust.on_call(fleet.now, NAME, 2.0, 20 * SECOND)  # it did, and its total comes late
+    trust.on_answer(fleet.now, NAME, Result.TIMEOUT, 0.0)
     counter.add(fleet.now, NAME, 2.0)
-    trust.late(fleet.now, NAME, 2.0)
+    trust.on_late_total(fleet.now, NAME, 2.0)
     assert fleet.add(0, 1.0) == 8.0
 
 
@@ -378,7 +378,7 @@
         fleet.wait(100 * MS)
     markers = [name for name in fleet.counters[0].totals if name >= MARKERS]
     assert len(markers) == 3
-    assert len(fleet.trusts[0]._names) < 60
+    assert len(fleet.trusts[0]._records) < 60
     assert fleet.states[0] == []
 
 
@@ -386,8 +386,8 @@
     trust = Trust(1, 50 * MS, BEAT, 8.0, 0)
     now, told = 0, list[State]()
     for step in range(80):
-        trust.called(now, NAME, 1.0, 60 * SECOND)
+        trust.on_call(now, NAME, 1.0, 60 * SECOND)
         now += 45 * MS if step < 40 else 1 * MS
-        actions = trust.answered(now, NAME, Result.OK, step + 1.0)
-        told += [action.state for action in actions if isinstance(action, Told)]
+        actions = trust.on_answer(now, NAME, Result.OK, step + 1.0)
+        told += [action.state for action in actions if isinstance(action, StateChange)]
     assert told == [State.SLOW, State.TRUSTED]
