--- a/lynxreel/fleet/__init__.py
+++ b/lynxreel/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""How many gateways there are, while that changes."""
+"""The number of gateways in a fleet, and how it changes in service."""
--- a/lynxreel/fleet/views.py
+++ b/lynxreel/fleet/views.py
@@ -1,15 +1,15 @@
-"""A fleet whose number of gateways changes in service. No I/O.
+"""Changes the number of gateways of a fleet in service. No I/O.
 
-Which gateways serve a customer follows from the number of gateways, and each holds an even part of the
-customer's ceiling. While the number changes, fronts go by either number, so two sets of gateways may serve
-a customer at once. As in Raft's joint consensus, the way from one view to another goes through a joint one,
-in which every gateway holds half: half for either set.
+The number of gateways determines which of them serve a customer, and each of these holds an even share of the
+customer's ceiling. While the number changes, some fronts use the old number and some the new one, so two sets
+of gateways may serve a customer at once. As in Raft's joint consensus, a change from one view to another
+passes through a joint view, in which every gateway holds half of its share: one half for either set.
 
     4            every gateway holds its even share
-    8, before 4  all hand back what they had saved up, and hold half; then, not before, fronts may go by 8
-    8            fronts all go by 8, and each gateway takes its whole share, in its own time
+    8, before 4  all release the units they had saved up, and hold half; only then may fronts use 8
+    8            all fronts use 8, and each gateway takes its whole share whenever it adopts the view
 
-`advise` says when the next step may be made: when all that run have taken the one before.
+`advise` tells when the next step may be made: when all running gateways have adopted the previous one.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """How many gateways there are; and in a joint view, how many there were before."""
+    """The number of gateways; and in a joint view, the number before the change."""
 
     gateways: int
-    before: int = 0  # 0: it is settled
+    before: int = 0  # 0: not a joint view
 
     @property
     def joint(self) -> bool:
-        """Fronts may go by either number."""
+        """Whether fronts may use either number."""
         return self.before > 0
 
     @property
     def most(self) -> int:
-        """Gateways that may be asked."""
+        """The number of gateways that may be sent requests."""
         return max(self.gateways, self.before)
 
     def part(self, number: int) -> float:
-        """What part of an even share the gateway of this number holds; nothing where fronts don't know it."""
+        """The fraction of an even share that gateway `number` holds; 0 where no front uses it."""
         if number >= self.most:
             return 0.0
         return 0.5 if self.joint else 1.0
@@ -47,53 +47,54 @@
 
 
 def problem(old: View, new: View) -> str:
-    """Why a gateway that goes by the old view can't go by the new one next; nothing where it can."""
+    """Why a gateway can't change from the old view to the new one; empty where it can."""
     if old == new:
         return ""
     if old.joint and new.joint:
-        mend = f"settle it first, with {old.gateways} or {old.before} alone"
-        return f"the change to {old} is not over; mend: {mend}"
+        remedy = f"settle it first, with {old.gateways} or {old.before} alone"
+        return f"the change to {old} is not over; mend: {remedy}"
     if old.joint:
-        sides = (old.gateways, old.before)
-        if new.gateways not in sides:
-            return f"{old} can only be settled; mend: write {sides[0]} or {sides[1]} alone"
+        allowed = (old.gateways, old.before)
+        if new.gateways not in allowed:
+            return f"{old} can only be settled; mend: write {allowed[0]} or {allowed[1]} alone"
         return ""
     if not new.joint or new.before != old.gateways:
-        mend = f"write gateways = {new.gateways}, before = {old.gateways} until all gateways have taken it"
+        remedy = f"write gateways = {new.gateways}, before = {old.gateways} until all gateways have taken it"
         why = "shares would add up to more than the whole"
-        return f"goes from {old} to {new} in one step: {why}; mend: {mend}"
+        return f"goes from {old} to {new} in one step: {why}; mend: {remedy}"
     return ""
 
 
 class Step(Enum):
-    """What may be done next."""
+    """The step that may be made next; the value is shown to operators."""
 
-    WAIT = "wait"  # for some that run and have not taken the last step
-    MOVE_FRONTS = "move fronts"  # to the new number; and then settle
-    CHANGE = "change"  # all is settled
+    WAIT = "wait"  # some running gateways have not adopted the current view
+    MOVE_FRONTS = "move fronts"  # move them to the new number, then end the joint view
+    CHANGE = "change"  # no change is in progress
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """What may be done next, and why."""
+    """The step that may be made next, and why."""
 
     step: Step
     text: str
 
 
 def advise(target: View, running: Mapping[str, View | None]) -> Advice:
-    """What may be done after `target` was given out; `running`: what each gateway that may run goes by.
+    """The step that may be made after `target` was rolled out.
 
-    None: it can't be asked, and may run all the same. One that has surely ended is not in it.
+    `running` maps each gateway that may be running to its view; None where the gateway can't be queried but
+    may still be running. Gateways that have certainly ended are not in it.
     """
     unknown = sorted(name for name, view in running.items() if view is None)
     behind = sorted(name for name, view in running.items() if view is not None and view != target)
     if unknown or behind:
-        told = [f"{name} can't be asked" for name in unknown]
-        told += [f"{name} still goes by {running[name]}" for name in behind]
-        wait = "no front may go by another number, and nothing may be settled, until then"
-        return Advice(Step.WAIT, f"{'; '.join(told)}: {wait}")
+        reasons = [f"{name} can't be asked" for name in unknown]
+        reasons += [f"{name} still goes by {running[name]}" for name in behind]
+        effect = "no front may go by another number, and nothing may be settled, until then"
+        return Advice(Step.WAIT, f"{'; '.join(reasons)}: {effect}")
     if target.joint:
-        then = f"then write gateways = {target.gateways} without before"
-        return Advice(Step.MOVE_FRONTS, f"all hold half: move every front to {target.gateways}; {then}")
+        next_step = f"then write gateways = {target.gateways} without before"
+        return Advice(Step.MOVE_FRONTS, f"all hold half: move every front to {target.gateways}; {next_step}")
     return Advice(Step.CHANGE, f"all {len(running)} go by {target}")
--- a/lynxreel/peers/__init__.py
+++ b/lynxreel/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the gateways of a fleet."""
+"""Messages between the gateways of a fleet, and the clock that they share."""
--- a/lynxreel/peers/clock.py
+++ b/lynxreel/peers/clock.py
@@ -1,4 +1,4 @@
-"""The shell round the fleet's clock: what a gateway asks of the others, and what it answers them."""
+"""Runs the surveys of the fleet's clock over the network, and answers the queries of other gateways."""
 
 from __future__ import annotations
 
@@ -14,89 +14,90 @@
 from mothgap.interface import PeerMessage
 from mothgap.shared_clock import AskClock, ClockSurvey, Rounds, TellClock, read, write
 
-PATIENCE = 0.1  # seconds for which a survey waits for answers
-AGAIN = 0.05  # seconds after which those who have not answered are asked once more
+SURVEY_TIMEOUT = 0.1  # seconds that a survey waits for replies
+RETRY_DELAY = 0.05  # seconds after which gateways that have not replied are queried once more
 
-_began_ns = time.monotonic_ns()  # as near to the start of the process as makes no difference
+_started_ns = time.monotonic_ns()  # close enough to the start of the process
 
 
-def process_age() -> int:
-    """Microseconds since this process began."""
-    return (time.monotonic_ns() - _began_ns) // 1_000
+def process_uptime() -> int:
+    """Microseconds since this process started."""
+    return (time.monotonic_ns() - _started_ns) // 1_000
 
 
 class FleetClock:
-    """The clock that a fleet goes by: this machine's, put right by what other gateways tell of theirs."""
+    """The clock that a fleet shares: this machine's, corrected by the clocks of other gateways."""
 
-    def __init__(self, peers: Peers, index: int, fleet: int, chance: random.Random) -> None:
-        """`peers` are open; this one is `index` of `fleet`. What they say goes to `take`."""
+    def __init__(self, peers: Peers, index: int, fleet: int, rng: random.Random) -> None:
+        """`peers` is open, and posts its messages to `take`. `index`: this gateway's number, of `fleet`."""
         self.clock, self.peers = Clock(), peers
-        self._index, self._fleet, self._chance = index, fleet, chance
-        self._shift = 0  # microseconds by which the fleet's clock is ahead of `clock`, found in service
+        self._index, self._fleet, self._rng = index, fleet, rng
+        self._shift = 0  # microseconds by which the fleet's clock is ahead of `clock`
         self._survey: ClockSurvey | None = None
-        self._answered = asyncio.Event()
+        self._quorum_reached = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def now(self) -> int:
-        """The fleet's time in microseconds, as far as it is known here."""
+        """The fleet's time in microseconds, as far as this gateway knows it."""
         return self.clock.now() + self._shift
 
     def take(self, message: PeerMessage) -> bool:
-        """Whether the message is about the clock; a question is answered at once."""
-        told = read(message.data)
-        if isinstance(told, AskClock):
-            answer = TellClock(told.number, self.now(), process_age())
+        """Handle a message about the clock, and answer a query at once; False for any other message."""
+        received = read(message.data)
+        if isinstance(received, AskClock):
+            answer = TellClock(received.number, self.now(), process_uptime())
             self.peers.tell(message.sender, write(answer))
-        elif isinstance(told, TellClock) and self._survey is not None:
-            self._survey.heard(message.sender, told, self.now())
+        elif isinstance(received, TellClock) and self._survey is not None:
+            self._survey.heard(message.sender, received, self.now())
             if self._survey.settled:
-                self._answered.set()
-        return told is not None
+                self._quorum_reached.set()
+        return received is not None
 
     async def begin(self) -> None:
-        """Set `clock` by whoever answers in time. Before anything else goes by it."""
+        """Set `clock` by the gateways that reply in time; to be called before anything else uses it."""
         survey = await self._ask()
-        ahead = survey.ahead(process_age())
+        ahead = survey.ahead(process_uptime())
         if ahead:
-            self._say(ahead)
+            self._log_shift(ahead)
             self.clock = Clock(self.clock.base + ahead * 1_000)
 
-    def follow(self, shifted: Callable[[int], None]) -> None:
-        """Go on asking until most of those who are asked have answered, and agree.
+    def follow(self, on_shift: Callable[[int], None]) -> None:
+        """Make further surveys until several in a row are answered by a majority and find no difference.
 
-        `shifted` hears how far the fleet's clock is ahead of `clock`, in microseconds, when that changes.
+        `on_shift` is called with how far the fleet's clock is ahead of `clock`, in microseconds, when that
+        changes.
         """
-        self._task = asyncio.get_running_loop().create_task(self._follow(shifted))
+        self._task = asyncio.get_running_loop().create_task(self._follow(on_shift))
 
     def close(self) -> None:
-        """The end."""
+        """Stop making surveys."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _follow(self, shifted: Callable[[int], None]) -> None:
-        rounds = Rounds(self._chance)
-        while (wait := rounds.wait()) is not None:
-            await asyncio.sleep(wait)
-            if ahead := rounds.over(await self._ask(), process_age()):
-                self._say(ahead)
+    async def _follow(self, on_shift: Callable[[int], None]) -> None:
+        rounds = Rounds(self._rng)
+        while (delay := rounds.wait()) is not None:
+            await asyncio.sleep(delay)
+            if ahead := rounds.over(await self._ask(), process_uptime()):
+                self._log_shift(ahead)
                 self._shift += ahead
-                shifted(self._shift)
+                on_shift(self._shift)
 
     async def _ask(self) -> ClockSurvey:
-        """A survey, with the answers that came in time."""
-        self._survey = survey = ClockSurvey(self._index, self._fleet, self._chance)
-        self._answered.clear()
-        for wait in (AGAIN, PATIENCE - AGAIN):
+        """Make a survey; it holds the replies that arrived in time."""
+        self._survey = survey = ClockSurvey(self._index, self._fleet, self._rng)
+        self._quorum_reached.clear()
+        for delay in (RETRY_DELAY, SURVEY_TIMEOUT - RETRY_DELAY):
             if survey.settled:
                 break
-            for question in survey.ask(self.now()):
-                self.peers.tell(question.to, question.data)
+            for query in survey.ask(self.now()):
+                self.peers.tell(query.to, query.data)
             with suppress(TimeoutError):
-                async with asyncio.timeout(wait):
-                    await self._answered.wait()
+                async with asyncio.timeout(delay):
+                    await self._quorum_reached.wait()
         self._survey = None
         return survey
 
     @staticmethod
-    def _say(ahead: int) -> None:
+    def _log_shift(ahead: int) -> None:
         log(f"other gateways' clocks are {ahead / 1e6:+.3f} s ahead of this one's: theirs are followed")
--- a/lynxreel/peers/datagrams.py
+++ b/lynxreel/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""Messages between gateways as UDP datagrams: late, or never, and from those on the list only."""
+"""Messages between gateways as UDP datagrams: unreliable, and accepted from listed gateways only."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from lynxreel.transient import while_short
 from mothgap.interface import PeerMessage
 
-MOST = 256  # bytes of a datagram; a longer one is none of a gateway's
-LEAST_HEARD = 200  # datagrams a second that are looked at; more are no gateways, or one that has gone mad
-EACH_HEARD = 5  # the same for each gateway on the list, where that comes to more
+MAX_DATAGRAM = 256  # bytes; no gateway sends a longer datagram
+# Datagrams per second that are accepted at least; more can only come from a faulty gateway or a forger.
+MIN_RECEIVE_LIMIT = 200
+RECEIVE_LIMIT_PER_PEER = 5  # the same for each listed gateway, where that comes to more
 
 
 class Peers(asyncio.DatagramProtocol):
-    """One gateway's place among the others, which are numbered by their place in `addresses`."""
+    """One gateway's endpoint for messages to the others; gateways are numbered by index in `addresses`."""
 
     def __init__(
         self,
@@ -27,76 +28,76 @@
         post: Callable[[PeerMessage], object],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """`post` takes what other gateways say; `index` is this one's own number."""
+        """`post` is called with each message from another gateway; `index` is this gateway's own number."""
         self._addresses, self._index, self._loop = tuple(addresses), index, loop
         self.post = post
         self._numbers = {address: n for n, address in enumerate(self._addresses) if n != index}
         self._transport: asyncio.DatagramTransport | None = None
-        self._second, self._heard = 0, 0
-        self._most = max(LEAST_HEARD, EACH_HEARD * len(self._addresses))
+        self._current_second, self._received = 0, 0
+        self._receive_limit = max(MIN_RECEIVE_LIMIT, RECEIVE_LIMIT_PER_PEER * len(self._addresses))
         self.dropped = {"stranger": 0, "too long": 0, "too many": 0, "not sent": 0}  # datagrams, by cause
 
-    async def open(self, listen: Address, beside: bool = False) -> None:
-        """Listen, unless it is done already. Raises an OSError where the address is taken.
+    async def open(self, listen: Address, reuse_address: bool = False) -> None:
+        """Start listening, unless it is done already. Raises an OSError where the address is in use.
 
-        `beside`: also where an older process of this gateway does. The system brings datagrams to the one
-        that was bound last.
+        `reuse_address`: listen even while an older process of this gateway does. The system delivers
+        datagrams to the socket that was bound last.
         """
         if self._transport is not None:
             return
-        own = await while_short(lambda: self._bound(listen, beside))
-        await self._loop.create_datagram_endpoint(lambda: self, sock=own)
+        sock = await while_short(lambda: self._bind(listen, reuse_address))
+        await self._loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     @staticmethod
-    def _bound(listen: Address, beside: bool) -> socket.socket:
-        own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    def _bind(listen: Address, reuse_address: bool) -> socket.socket:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            own.setblocking(False)
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, beside)
-            own.bind(listen)
+            sock.setblocking(False)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, reuse_address)
+            sock.bind(listen)
         except OSError:
-            own.close()
+            sock.close()
             raise
-        return own
+        return sock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Up."""
+        """Keep the transport for sending."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Pass on what another gateway of the list says; the rest is dropped and counted."""
+        """Post a message from another listed gateway; anything else is dropped and counted."""
         sender = self._numbers.get((address[0], address[1]))
         second = int(self._loop.time())
-        if second != self._second:
-            self._second, self._heard = second, 0
+        if second != self._current_second:
+            self._current_second, self._received = second, 0
         if sender is None:
             self.dropped["stranger"] += 1
-        elif len(data) > MOST:
+        elif len(data) > MAX_DATAGRAM:
             self.dropped["too long"] += 1
-        elif self._heard >= self._most:
+        elif self._received >= self._receive_limit:
             self.dropped["too many"] += 1
         else:
-            self._heard += 1
+            self._received += 1
             self.post(PeerMessage(sender, data))
 
     def error_received(self, error: Exception) -> None:
-        """The other end is not there: it is heard of again when it speaks."""
+        """Ignored: the receiver is not running, and may start at any time."""
 
     def tell(self, to: int | None, data: bytes) -> None:
-        """Send to one gateway, or to all others; what can't be sent now is lost, as any datagram may be."""
+        """Send to one gateway, or to all others; a message that can't be sent now is dropped and counted."""
         numbers = self._numbers.values() if to is None else (to,)
         for number in numbers:
-            if self._transport is None or len(data) > MOST or not 0 <= number < len(self._addresses):
+            if self._transport is None or len(data) > MAX_DATAGRAM or not 0 <= number < len(self._addresses):
                 self.dropped["not sent"] += 1
                 continue
             try:
                 self._transport.sendto(data, self._addresses[number])
-            except OSError as wrong:
+            except OSError as error:
                 self.dropped["not sent"] += 1
-                log(f"gateway {number} can't be told: {wrong}")
+                log(f"can't send to gateway {number}: {error}")
 
     def close(self) -> None:
-        """The end of the process."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
