--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The adapter: frames by hand, in and out."""
+"""The simulator adapter: handwritten frames in, and the replies to them."""
 
 import io
 import json
@@ -33,8 +33,8 @@
     return struct.pack("<IIQ", len(body), len(records), now) + body
 
 
-def boot(instance: int = 3, facts: bytes | None = None) -> bytes:
-    text = json.dumps(FACTS).encode() if facts is None else facts
+def boot(instance: int = 3, settings: bytes | None = None) -> bytes:
+    text = json.dumps(FACTS).encode() if settings is None else settings
     return struct.pack("<HIQI", 1, instance, 99, len(text)) + text
 
 
@@ -73,7 +73,7 @@
     assert (code, instance, request, server) == (10, 3, 7, SERVER)
 
 
-def test_the_outcome_record_of_the_wire_page_is_read() -> None:
+def test_the_example_outcome_record_of_the_protocol_page_is_read() -> None:
     raw = bytes.fromhex("03000000c4913a5d00000a124a078b13c80044480000015600030002000040400000e040")
     reader = drill.Reader(raw)
     event = drill.read_outcome(drill.Drill(), reader.unpack(drill.EVENTS[12][1]), reader)
@@ -83,7 +83,7 @@
     )
 
 
-def test_server_names_go_back_unchanged() -> None:
+def test_server_names_are_converted_back_unchanged() -> None:
     assert drill.server_bytes(drill.server_name(SERVER)) == SERVER
 
 
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (frame(boot())[:-5], "before the end of the frame"),
         (frame(boot())[:9], "inside a header"),
@@ -112,17 +112,17 @@
         (frame(submit() + b"\x00"), "never started"),
         (frame(boot(), discovery()), "roster 0 was never sent"),
         (frame(boot() + b"\x00\x00"), "left after the last record"),
-        (frame(boot(facts=b"{nope")), "not JSON"),
-        (frame(boot(facts=b"{}")), "limits"),
-        (frame(boot(facts=b"[]")), "wrong type"),
+        (frame(boot(settings=b"{nope")), "not JSON"),
+        (frame(boot(settings=b"{}")), "limits"),
+        (frame(boot(settings=b"[]")), "wrong type"),
     ],
 )
-def test_malformed_input_gives_one_line_and_a_non_zero_exit(data: bytes, says: str) -> None:
+def test_malformed_input_gives_one_line_and_a_non_zero_exit(data: bytes, message: str) -> None:
     command = [sys.executable, "-m", "mothgap.drill"]
     done = subprocess.run(command, input=data, capture_output=True, timeout=60)
     assert done.returncode == 1
     assert done.stdout == b""
     text = done.stderr.decode()
-    assert says in text
+    assert message in text
     assert text.count("\n") == 1
     assert text.startswith("mothgap.drill: batch 1: ")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Parts of ceilings that gateways lend each other: never more in sum than the ceiling."""
+"""Gateways lend each other shares of ceilings: in sum never more than the ceiling."""
 
 import random
 from dataclasses import replace
@@ -35,29 +35,29 @@
     return fields | {"time_left": 3 * SECOND, "entry_points": FLEET, "first_entry": 0}
 
 
-def played(fleet: Gateways, seconds: float, a_second: float, skew: float, restarts: float = 0.0) -> Ledger:
-    """A customer that asks for much, unevenly; its ledger, and every request with its one answer."""
-    plan, chance = fleet.settings.plans[0], fleet.chance
+def run_traffic(fleet: Gateways, seconds: float, rate: float, skew: float, restarts: float = 0.0) -> Ledger:
+    """Run requests of one customer, spread unevenly, and check their answers; returns its ledger."""
+    plan, rng = fleet.settings.plans[0], fleet.chance
     ledger = Ledger(plan.ceiling_rate, plan.ceiling_burst, START)
     answered: list[int] = []
     units: dict[int, float] = {}
 
-    def on(gateway: int, action: Action) -> None:
+    def record(gateway: int, action: Action) -> None:
         if isinstance(action, Send):
             ledger.take(units[action.request], fleet.now)
         if isinstance(action, Send | Refuse):
             answered.append(action.request)
 
-    fleet.on = on
+    fleet.on = record
     number = 0
     while fleet.now < START + seconds * SECOND:
-        fleet.run(fleet.now + int(chance.expovariate(a_second) * SECOND) + 1)
+        fleet.run(fleet.now + int(rng.expovariate(rate) * SECOND) + 1)
         number += 1
-        cost = float(chance.choice((1, 2)))
+        cost = float(rng.choice((1, 2)))
         units[number] = cost
-        assert fleet.request(int(chance.random() ** skew * FLEET), **call(cost)) == number
-        if restarts and chance.random() < restarts / a_second:
-            fleet.restart(chance.randrange(FLEET))
+        assert fleet.request(int(rng.random() ** skew * FLEET), **call(cost)) == number
+        if restarts and rng.random() < restarts / rate:
+            fleet.restart(rng.randrange(FLEET))
     fleet.run(fleet.now + 5 * SECOND)
     assert len(answered) == len(set(answered))
     if not restarts:
@@ -66,44 +66,44 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-@pytest.mark.parametrize("longest", [LIFE // 2, 3 * LIFE])
-def test_the_ceiling_holds_while_messages_are_late_lost_and_doubled(longest: int, seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, longest), lost=0.1, twice=0.3)
-    ledger = played(fleet, 20, 60.0, 2.0)
-    assert fleet.messages > (1_000 if longest < LIFE else 200)
+@pytest.mark.parametrize("max_delay", [LIFE // 2, 3 * LIFE])
+def test_the_ceiling_holds_while_messages_are_delayed_lost_and_duplicated(max_delay: int, seed: int) -> None:
+    fleet = Gateways(LENT, seed, way=(1 * MS, max_delay), lost=0.1, twice=0.3)
+    ledger = run_traffic(fleet, 20, 60.0, 2.0)
+    assert fleet.messages > (1_000 if max_delay < LIFE else 200)
     assert ledger.lowest >= -PLAN.ceiling_slack
-    fair = played(Gateways(replace(LENT, limits=SETTINGS.limits), seed), 20, 60.0, 2.0)
-    assert ledger.taken > 0.7 * fair.taken  # what is given in vain is lost; hence few are asked in vain
+    unlent = run_traffic(Gateways(replace(LENT, limits=SETTINGS.limits), seed), 20, 60.0, 2.0)
+    assert ledger.taken > 0.7 * unlent.taken  # late replies are lost, so few requests may be sent in vain
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_ceiling_holds_while_gateways_die_and_come_back(seed: int) -> None:
+def test_the_ceiling_holds_while_gateways_crash_and_restart(seed: int) -> None:
     fleet = Gateways(LENT, seed, way=(1 * MS, 2 * LIFE), lost=0.05, twice=0.2)
-    ledger = played(fleet, 20, 60.0, 2.0, restarts=2.0)
+    ledger = run_traffic(fleet, 20, 60.0, 2.0, restarts=2.0)
     assert ledger.lowest >= -PLAN.ceiling_slack
 
 
-def test_what_is_asked_inside_the_ceiling_passes_however_uneven_it_is() -> None:
-    def passed(peers: bool) -> float:
+def test_uneven_traffic_below_the_ceiling_passes_with_lending() -> None:
+    def units_per_second(peers: bool) -> float:
         limits = replace(LENT.limits, peers=peers)
-        ledger = played(Gateways(replace(LENT, limits=limits), 3, lost=0.05), 30, 10.0, 3.0)
+        ledger = run_traffic(Gateways(replace(LENT, limits=limits), 3, lost=0.05), 30, 10.0, 3.0)
         return ledger.taken / 30
 
-    alone, lent = passed(False), passed(True)
-    assert alone < 11.0  # of some 15 units a second, where 20 are allowed
-    assert lent > 13.5
+    separate, lending = units_per_second(False), units_per_second(True)
+    assert separate < 11.0  # of some 15 units per second, where 20 are allowed
+    assert lending > 13.5
 
 
-def test_without_slack_so_much_is_held_back_that_late_answers_fit() -> None:
+def test_without_slack_enough_is_reserved_for_late_replies() -> None:
     assert held_back(PLAN) == 0.0
-    tight = replace(PLAN, ceiling_slack=0.0)
-    assert held_back(tight) == pytest.approx(tight.ceiling_rate * LIFE / SECOND)
+    no_slack = replace(PLAN, ceiling_slack=0.0)
+    assert held_back(no_slack) == pytest.approx(no_slack.ceiling_rate * LIFE / SECOND)
     for seed in range(4):
-        fleet = Gateways(replace(LENT, plans=(tight,)), seed, way=(1 * MS, LIFE))
-        assert played(fleet, 20, 60.0, 2.0).lowest >= -1e-6
+        fleet = Gateways(replace(LENT, plans=(no_slack,)), seed, way=(1 * MS, LIFE))
+        assert run_traffic(fleet, 20, 60.0, 2.0).lowest >= -1e-6
 
 
-def test_messages_are_read_as_written_and_units_only_rounded_down() -> None:
+def test_messages_are_decoded_as_encoded_and_units_only_rounded_down() -> None:
     assert read(write(ASKED)) == ASKED
     for units in (0.0, 0.3, 1.9996, 7.0):
         give = read(write(Give(CUSTOMER, 9, units)))
@@ -112,67 +112,67 @@
     assert len(write(ASKED)) <= 256
 
 
-def test_what_is_torn_or_strange_is_no_message() -> None:
-    whole = [write(ASKED), write(Give(CUSTOMER, 9, 1.0))]
-    for data in whole:
+def test_truncated_or_unknown_data_is_no_message() -> None:
+    messages = [write(ASKED), write(Give(CUSTOMER, 9, 1.0))]
+    for data in messages:
         assert all(read(data[:size]) is None for size in range(len(data)))
         assert read(data + b"x") is None
         assert read(bytes((data[0] + 1,)) + data[1:]) is None
         assert read(data[:1] + b"\x07" + data[2:]) is None
-    noise = random.Random(4)
-    assert all(read(noise.randbytes(noise.randrange(40))) is None for _ in range(2_000))
+    rng = random.Random(4)
+    assert all(read(rng.randbytes(rng.randrange(40))) is None for _ in range(2_000))
 
 
-def test_an_answer_counts_once_from_whom_was_asked_and_soon() -> None:
-    questions = Questions(2, random.Random(1))
-    tells = [questions.ask(ASKED, FLEET, START) for _ in range(4)]
-    asked = []
+def test_a_reply_is_accepted_once_in_time_and_from_the_queried_gateway() -> None:
+    pending = Questions(2, random.Random(1))
+    tells = [pending.ask(ASKED, FLEET, START) for _ in range(4)]
+    requests = []
     for tell in tells:
         assert tell is not None and tell.to is not None
-        question = read(tell.data)
-        assert isinstance(question, Ask) and question.units == 3.0
-        asked.append((tell.to, question.number))
-    (to, number), (other, second), (_, third), _ = asked
-    assert questions.answered(Give(CUSTOMER, number, 2.0), to + 1, START) is None  # another gateway
-    assert questions.answered(Give(CUSTOMER + 1, number, 2.0), to, START) is None  # another customer
-    assert questions.answered(Give(CUSTOMER, 12345, 2.0), to, START) is None  # nobody asked
-    assert questions.answered(Give(CUSTOMER, number, 2.0), to, START + LIFE) == 2.0
-    assert questions.answered(Give(CUSTOMER, number, 2.0), to, START) is None  # once more
-    assert questions.answered(Give(CUSTOMER, second, 9.0), other, START) == 3.0  # more than was wanted
-    assert questions.out(CUSTOMER, START) == 2
-    assert questions.answered(Give(CUSTOMER, third, 1.0), asked[2][0], START + LIFE + 1) is None
-    assert questions.out(CUSTOMER, START + LIFE) == 2
-    assert questions.out(CUSTOMER, START + LIFE + 1) == 0
-
-
-def test_all_others_of_the_set_are_asked_and_no_one_else() -> None:
+        request = read(tell.data)
+        assert isinstance(request, Ask) and request.units == 3.0
+        requests.append((tell.to, request.number))
+    (to, number), (other, second), (_, third), _ = requests
+    assert pending.answered(Give(CUSTOMER, number, 2.0), to + 1, START) is None  # another gateway
+    assert pending.answered(Give(CUSTOMER + 1, number, 2.0), to, START) is None  # another customer
+    assert pending.answered(Give(CUSTOMER, 12345, 2.0), to, START) is None  # no such request
+    assert pending.answered(Give(CUSTOMER, number, 2.0), to, START + LIFE) == 2.0
+    assert pending.answered(Give(CUSTOMER, number, 2.0), to, START) is None  # a duplicate
+    assert pending.answered(Give(CUSTOMER, second, 9.0), other, START) == 3.0  # more than was requested
+    assert pending.out(CUSTOMER, START) == 2
+    assert pending.answered(Give(CUSTOMER, third, 1.0), requests[2][0], START + LIFE + 1) is None
+    assert pending.out(CUSTOMER, START + LIFE) == 2
+    assert pending.out(CUSTOMER, START + LIFE + 1) == 0
+
+
+def test_requests_go_to_all_other_gateways_of_the_customer_and_no_others() -> None:
     for index in (0, 5, 11):
-        questions, seen = Questions(index, random.Random(index)), set()
+        pending, lenders = Questions(index, random.Random(index)), set()
         for _ in range(400):
-            tell = questions.ask(replace(ASKED, spread=4, first=10), FLEET, START)
+            tell = pending.ask(replace(ASKED, spread=4, first=10), FLEET, START)
             assert tell is not None
-            seen.add(tell.to)
-        assert seen == {10, 11, 0, 1} - {index}
+            lenders.add(tell.to)
+        assert lenders == {10, 11, 0, 1} - {index}
     assert Questions(3, random.Random(1)).ask(replace(ASKED, spread=1, first=3), FLEET, START) is None
 
 
-def test_questions_that_nobody_answers_are_forgotten() -> None:
-    questions = Questions(0, random.Random(1))
+def test_unanswered_requests_are_evicted() -> None:
+    pending = Questions(0, random.Random(1))
     for number in range(2 * MAX_PENDING):
-        questions.ask(replace(ASKED, customer=number), FLEET, START)
-    assert len(questions._pending) == MAX_PENDING
-    assert len(questions._pending_by_customer) == MAX_PENDING
+        pending.ask(replace(ASKED, customer=number), FLEET, START)
+    assert len(pending._pending) == MAX_PENDING
+    assert len(pending._pending_by_customer) == MAX_PENDING
 
 
-def asked_by(sender: int, **fields: int | float) -> list[Action]:
-    """What gateway 1, which has saved up its whole part, does about a question."""
+def reply_to(sender: int, **fields: int | float) -> list[Action]:
+    """The actions of gateway 1, which has saved up its whole share, on a request from `sender`."""
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
     ask = replace(ASKED, number=5, **fields)  # type: ignore[arg-type]
     return fleet.gateways[1].handle(fleet.now, PeerMessage(sender, write(ask)))
 
 
-def given(actions: list[Action]) -> float:
+def lent_units(actions: list[Action]) -> float:
     (tell,) = actions
     assert isinstance(tell, Tell) and tell.to == 4
     give = read(tell.data)
@@ -180,16 +180,22 @@
     return give.units
 
 
-def test_a_gateway_lends_what_it_has_to_those_of_the_set_alone() -> None:
-    assert given(asked_by(4)) == 3.0
-    assert given(asked_by(4, units=9.0)) == 4.0  # 48 units shared by 12
+def test_a_gateway_lends_what_it_has_only_to_gateways_of_the_customer() -> None:
+    assert lent_units(reply_to(4)) == 3.0
+    assert lent_units(reply_to(4, units=9.0)) == 4.0  # 48 units shared by 12
     for sender in (1, 99):
-        assert asked_by(sender) == []
-    for odd in ({"spread": 3}, {"spread": 0}, {"spread": 999}, {"plan": 7}, {"first": 60_000, "spread": 2}):
-        assert asked_by(4, **odd) == []
-
-
-def test_a_gateway_keeps_half_for_a_customer_that_is_here_and_lends_no_unit_twice() -> None:
+        assert reply_to(sender) == []
+    for invalid in (
+        {"spread": 3},
+        {"spread": 0},
+        {"spread": 999},
+        {"plan": 7},
+        {"first": 60_000, "spread": 2},
+    ):
+        assert reply_to(4, **invalid) == []
+
+
+def test_a_gateway_keeps_half_for_an_active_customer_and_lends_no_unit_twice() -> None:
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
     fleet.request(1, **call())
@@ -203,16 +209,16 @@
     assert units == [2.0, 1.0, 0.5]
 
 
-def test_a_request_is_refused_as_soon_as_no_gateway_has_anything() -> None:
+def test_a_request_is_refused_soon_when_no_gateway_has_units() -> None:
     fleet = Gateways(LENT, 1)
     refused: list[int] = []
 
-    def on(_: int, action: Action) -> None:
+    def record(_: int, action: Action) -> None:
         if isinstance(action, Refuse):
             assert action.cause is Cause.CEILING
             refused.append(fleet.now)
 
-    fleet.on = on
+    fleet.on = record
     fleet.request(0, **call(2.0))
     fleet.run(START + LIFE - 1)
     assert refused or fleet.gateways[0]._questions.out(CUSTOMER, fleet.now)
@@ -221,9 +227,9 @@
     assert refused[0] <= START + 200 * MS
 
 
-def test_a_request_that_waits_for_a_loan_goes_to_no_server_that_left_meanwhile() -> None:
+def test_a_request_that_waited_for_a_loan_is_not_sent_to_a_server_that_left_meanwhile() -> None:
     fleet = Gateways(LENT, 1, servers=2, way=(20 * MS, 20 * MS))
-    fleet.run(START + 3 * SECOND)  # parts have been saved up
+    fleet.run(START + 3 * SECOND)  # shares have been saved up
     sent: list[tuple[int, str]] = []
     fleet.on = lambda gateway, action: (
         sent.append((action.request, action.server)) if isinstance(action, Send) else None
@@ -239,7 +245,7 @@
     assert later and set(later) == {fleet.lines[1].server}
 
 
-def test_a_request_whose_client_leaves_while_it_waits_takes_nothing() -> None:
+def test_a_request_whose_client_disconnects_while_it_waits_takes_no_units() -> None:
     fleet = Gateways(LENT, 1, way=(90 * MS, 90 * MS))
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
@@ -253,26 +259,26 @@
     assert sent == []
 
 
-def test_a_fleet_that_may_not_talk_says_nothing() -> None:
+def test_no_messages_are_sent_where_they_are_not_allowed() -> None:
     fleet = Gateways(replace(LENT, limits=replace(LENT.limits, peers=False)), 1)
-    played(fleet, 5, 40.0, 2.0)
+    run_traffic(fleet, 5, 40.0, 2.0)
     assert fleet.messages == 0
 
 
-def test_any_bytes_from_any_gateway_do_no_harm() -> None:
-    fleet, noise = Gateways(LENT, 1), random.Random(7)
-    whole = write(ASKED)
+def test_random_bytes_from_any_gateway_do_no_harm() -> None:
+    fleet, rng = Gateways(LENT, 1), random.Random(7)
+    message = write(ASKED)
     for _ in range(3_000):
-        data = bytearray(whole if noise.random() < 0.7 else write(Give(CUSTOMER, 3, 9.0)))
-        for _ in range(noise.randrange(4)):
-            data[noise.randrange(2, len(data))] = noise.randrange(256)
-        actions = fleet.gateways[0].handle(fleet.now, PeerMessage(noise.randrange(20), bytes(data)))
+        data = bytearray(message if rng.random() < 0.7 else write(Give(CUSTOMER, 3, 9.0)))
+        for _ in range(rng.randrange(4)):
+            data[rng.randrange(2, len(data))] = rng.randrange(256)
+        actions = fleet.gateways[0].handle(fleet.now, PeerMessage(rng.randrange(20), bytes(data)))
         assert all(isinstance(action, Tell) for action in actions)
     known = fleet.gateways[0]._customers.get(CUSTOMER)
     assert known is None or known.ceiling <= known.full
 
 
-def test_that_nobody_has_anything_is_told_when_the_last_answer_is_here() -> None:
+def test_a_request_is_refused_once_the_last_reply_brings_nothing() -> None:
     fleet = Gateways(LENT, 1, way=(1 * MS, 1 * MS))
     refused: list[int] = []
     fleet.on = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
@@ -282,35 +288,35 @@
     assert refused[0] <= START + 20 * MS
 
 
-def test_a_request_larger_than_any_part_passes_with_what_others_give() -> None:
+def test_a_request_larger_than_any_share_passes_with_loans() -> None:
     small = replace(PLAN, ceiling_burst=18.0, ceiling_slack=6.0)
     fleet = Gateways(replace(LENT, plans=(small,)), 1)
     fleet.now += 60 * SECOND
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
-    fleet.request(0, **call(2.0))  # a part is 1.5
+    fleet.request(0, **call(2.0))  # a share is 1.5
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
     assert fleet.gateways[0]._customers[CUSTOMER].ceiling <= 1.5
 
 
-def test_a_part_that_runs_low_is_added_to_before_it_is_wanted() -> None:
+def test_a_low_share_is_topped_up_before_it_is_needed() -> None:
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
     fleet.request(0, **call(1.0))
     fleet.run(fleet.now + 20 * MS)
-    assert fleet.messages == 0  # 3 of 4 are left
+    assert fleet.messages == 0  # 3 of 4 units are left
     fleet.request(0, **call(2.0))
     fleet.run(fleet.now + SECOND)
     assert fleet.messages == 2
     assert fleet.gateways[0]._customers[CUSTOMER].ceiling == pytest.approx(4.0)
 
 
-def test_a_customer_whose_part_has_just_been_lent_is_not_let_go_of() -> None:
+def test_a_customer_whose_share_has_just_been_lent_is_not_evicted() -> None:
     fleet = Gateways(LENT, 1)
     fleet.run(START + 60 * SECOND)
     fleet.request(1, **call())
-    fleet.run(START + 100 * SECOND)  # refilled, and long unheard of
+    fleet.run(START + 100 * SECOND)  # refilled, and long inactive
     ask = write(replace(ASKED, units=9.0))
     fleet.gateways[1].handle(fleet.now, PeerMessage(4, ask))
     for customer in range(1_000, 1_100):
@@ -321,7 +327,7 @@
     assert isinstance(give, Give) and give.units < 0.1
 
 
-def test_what_several_gateways_give_adds_up_for_a_request_that_waits() -> None:
+def test_loans_from_several_gateways_add_up_for_a_waiting_request() -> None:
     small = replace(PLAN, ceiling_burst=12.0, ceiling_slack=6.0)
     fleet = Gateways(replace(LENT, plans=(small,)), 2, way=(1 * MS, 5 * MS))
     fleet.now += 60 * SECOND
@@ -329,12 +335,12 @@
         fleet.gateways[number].handle(fleet.now, PeerMessage(0, write(replace(ASKED, units=0.6))))
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
-    fleet.request(0, **call(2.0))  # a part is 1, and nobody has more than 0.4 left
+    fleet.request(0, **call(2.0))  # a share is 1, and no gateway has more than 0.4 left
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
 
 
-def test_customers_with_a_ceiling_are_let_go_of_in_the_end() -> None:
+def test_customers_with_a_ceiling_are_evicted_in_the_end() -> None:
     fleet = Gateways(LENT, 1)
     for customer in range(500):
         fleet.request(0, **call() | {"customer": customer})
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -1,4 +1,4 @@
-"""Other settings while the module runs, and the cause that it gives with each refusal."""
+"""Settings that change while the decision module runs, and the cause given with each refusal."""
 
 from dataclasses import replace
 
@@ -47,8 +47,8 @@
     return replace(SETTINGS, plans=(plan, *SETTINGS.plans[1:]))
 
 
-def passed(driver: Driver, count: int) -> int:
-    """Requests of one customer that go on, where the counter tells only of this gateway's use."""
+def count_passed(driver: Driver, count: int) -> int:
+    """How many requests of one customer are sent, where the counter holds only this gateway's increments."""
     before = sum(isinstance(action, Send) for action in driver.actions)
     total: dict[int, float] = {}
     for _ in range(count):
@@ -61,21 +61,21 @@
     return sum(isinstance(action, Send) for action in driver.actions) - before
 
 
-def test_a_larger_burst_holds_from_the_next_request_on() -> None:
+def test_a_larger_burst_applies_from_the_next_request_on() -> None:
     driver = Driver()
-    assert 6 <= passed(driver, 30) <= 8
+    assert 6 <= count_passed(driver, 30) <= 8
     adopt(driver, with_plan(Plan(rate=2.0, burst=28.0)))
-    assert 18 <= passed(driver, 60) <= 20  # what was taken stays taken
+    assert 18 <= count_passed(driver, 60) <= 20  # units already used stay used
 
 
-def test_a_smaller_burst_gives_nothing_new() -> None:
+def test_a_smaller_burst_grants_nothing_new() -> None:
     driver = Driver()
-    assert passed(driver, 5) == 5
+    assert count_passed(driver, 5) == 5
     adopt(driver, with_plan(Plan(rate=2.0, burst=4.0)))
-    assert passed(driver, 20) == 0
+    assert count_passed(driver, 20) == 0
 
 
-def test_a_quota_that_is_taken_away_in_the_middle_of_a_call_lets_it_pass() -> None:
+def test_a_request_passes_whose_quota_is_removed_during_its_counter_call() -> None:
     driver = Driver()
     driver.request()
     adopt(driver, with_plan(Plan()))
@@ -84,7 +84,7 @@
     assert not driver.calls
 
 
-def test_a_quota_that_is_taken_away_leaves_nothing_to_settle() -> None:
+def test_a_removed_quota_leaves_nothing_to_refund() -> None:
     driver = Driver()
     driver.request()
     driver.members(line(1, state=State.DRAINING), line(2, state=State.DRAINING), kind=ListKind.FULL)
@@ -102,22 +102,22 @@
         SETTINGS, classes=(*SETTINGS.classes[:ONCE], dropped, more), plans=(*SETTINGS.plans, Plan(3.0, 9.0))
     )
     adopt(driver, settings)
-    # It went out when a second run did harm, so it is not sent again and not refused.
+    # It was sent under a class that must not run twice, so it is neither sent again nor refused.
     assert kinds(driver.outcome(send.request, Result.RESET)) == ["Fail"]
     driver.request(cls=3, plan=2, customer=5)
     assert kinds(driver.counted(1.0)) == ["Send"]
     driver.finish()
 
 
-def test_each_refusal_tells_its_cause() -> None:
+def test_each_refusal_has_its_cause() -> None:
     def cause(driver: Driver) -> Cause:
         last = driver.actions[-1]
         assert isinstance(last, Refuse | Fail)
         return last.cause
 
-    late = Driver()
-    late.request(time_left=1 * MS)
-    assert cause(late) is Cause.NO_TIME
+    no_time = Driver()
+    no_time.request(time_left=1 * MS)
+    assert cause(no_time) is Cause.NO_TIME
 
     ceiling = Driver()
     ceiling.request(plan=CEILING)  # its share starts empty
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("cls", [REPEATABLE, ONCE])
-def test_other_settings_in_the_middle_of_anything_break_no_rule(cls: int) -> None:
+def test_settings_that_change_at_any_time_break_no_rule(cls: int) -> None:
     driver = Driver()
     for step in range(60):
         driver.request(cls=cls, customer=step % 5, units=1.0 + step % 3)
@@ -170,23 +170,23 @@
 
 
 @pytest.mark.parametrize("result", [Result.OK, Result.TIMEOUT, Result.CONNECT_FAILED])
-def test_a_request_whose_plan_loses_its_quota_while_its_total_is_on_its_way_goes_on(result: Result) -> None:
+def test_a_request_whose_plan_loses_its_quota_while_its_total_is_pending_is_sent(result: Result) -> None:
     driver = Driver()
     assert kinds(driver.request()) == ["Count"]
     driver.adopt(with_plan(Plan()))
     assert kinds(driver.counted(1.0, result)) == ["Send"]
 
 
-def test_a_question_of_another_gateway_has_no_answer_once_messages_are_ruled_out() -> None:
+def test_a_loan_request_gets_no_reply_once_messages_are_not_allowed() -> None:
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, peers=True)))
     driver.adopt(SETTINGS)
     assert driver.feed(PeerMessage(1, write(Ask(CUSTOMER, 1, 1.0, CEILING, 3, 0)))) == []
 
 
-def test_an_attempt_that_is_out_is_not_cancelled_once_that_is_ruled_out() -> None:
+def test_an_attempt_in_flight_is_not_cancelled_once_that_is_not_allowed() -> None:
     driver = Driver()
     for _ in range(3):
-        driver.outcome(driver.admitted().request)  # so that it knows how long answers take
+        driver.outcome(driver.admitted().request)  # so that the module knows how long answers take
     driver.admitted()
     driver.adopt(replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False)))
     assert "Cancel" not in kinds(driver.wait(SECOND))
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -1,4 +1,4 @@
-"""The five rules, from the actions alone, over drawn sequences of events and settings."""
+"""The five safety rules, checked from the actions alone, over random sequences of events and settings."""
 
 from dataclasses import replace
 
@@ -72,7 +72,7 @@
     driver = Driver(deployment, servers=0, seed=seed)
     driver.members(*(line(n, cell=n % 2, zone=n % 3) for n in range(1, 6)), kind=ListKind.CACHED)
     for step, number in steps:
-        out = [(life.request.id, n) for life in driver.lives.values() for n in sorted(life.live)]
+        in_flight = [(life.request.id, n) for life in driver.lives.values() for n in sorted(life.live)]
         if step == "request":
             driver.request(
                 cls=number % 3,
@@ -82,8 +82,8 @@
                 entry_points=3,
                 time_left=None if number % 7 else number % 50 * MS,
             )
-        elif step == "outcome" and out:
-            request, attempt = out[number % len(out)]
+        elif step == "outcome" and in_flight:
+            request, attempt = in_flight[number % len(in_flight)]
             driver.outcome(request, RESULTS[number // 64 % len(RESULTS)], attempt)
         elif step == "counted" and driver.calls:
             result = Result.OK if number % 3 else RESULTS[number // 3 % len(RESULTS)]
@@ -99,7 +99,7 @@
             n = number // 6 % 5 + 1
             driver.members(replace(line(n, cell=n % 2, zone=n % 3), state=state, started_at=started))
         elif step == "settings":
-            driver.adopt(changed(driver.settings, number))
+            driver.adopt(reloaded(driver.settings, number))
         elif step == "peer":
             ask = Ask(number % 4, number, 1.0, number % 5, 3, 0)
             driver.feed(PeerMessage(1 + number % 2, write(ask)))
@@ -108,8 +108,8 @@
     assert all(life.over for life in driver.lives.values())
 
 
-def changed(settings: Settings, number: int) -> Settings:
-    """A reload: one part of the deployment comes or goes, or a plan gains or loses its quota."""
+def reloaded(settings: Settings, number: int) -> Settings:
+    """Settings after a reload: one feature is switched on or off, or a plan gains or loses its quota."""
     limits = settings.limits
     match number % 5:
         case 0:
@@ -127,7 +127,7 @@
 
 
 def answer_due_calls(driver: Driver) -> None:
-    """A call that nobody answered ends as a time-out at the counter's limit."""
+    """Counter calls without an answer end as timeouts at the counter's time limit."""
     if driver.calls:
         limit = driver.settings.counter.time_limit if driver.settings.counter is not None else 8 * MS
         driver.wait(min(limit, 8 * MS))
--- a/tests/test_shared_clock.py
+++ b/tests/test_shared_clock.py
@@ -1,4 +1,4 @@
-"""Gateways that start after their machine's wall clock was stepped ask the others for the fleet's."""
+"""Gateways that start after their machine's wall clock was stepped adopt the clock of the fleet."""
 
 import asyncio
 import random
@@ -34,8 +34,10 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_one_of_two_that_starts_again_after_a_step_gives_no_second_quota(tmp_path: Path, step: float) -> None:
-    """Guards a quota over the fleet, where no folder lasts and the running gateway keeps its clock."""
+def test_one_of_two_that_restarts_after_a_clock_step_grants_no_second_quota(
+    tmp_path: Path, step: float
+) -> None:
+    """Without a persistent folder, a wrong clock may not grant a quota twice; the right one is kept."""
 
     async def scenario() -> None:
         async with platform_fleet(tmp_path, 2) as fleet:
@@ -43,9 +45,9 @@
             fleet.kill((1,))
             fleet.machines[1].step_clock(step)
             await fleet.start((1,))
-            began = time.monotonic()
+            started_at = time.monotonic()
             served = await fleet.spend((0, 1), 3 * BURST)
-            assert served <= BURST + RATE * (time.monotonic() - began) + 2
+            assert served <= BURST + RATE * (time.monotonic() - started_at) + 2
             assert served >= BURST - 2
             assert "ahead of this one's: theirs are followed" in fleet.log(1)
             assert "theirs are followed" not in fleet.log(0)
@@ -54,8 +56,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS[:2])
-def test_one_of_three_is_stepped_and_all_start_together(tmp_path: Path, step: float) -> None:
-    """Who comes first is answered by nobody: it asks again in service."""
+def test_three_start_together_and_the_clock_of_one_was_stepped(tmp_path: Path, step: float) -> None:
+    """The first to start gets no replies: it makes further surveys in service."""
 
     async def scenario() -> None:
         async with platform_fleet(tmp_path, 3) as fleet:
@@ -64,15 +66,15 @@
             while await fleet.spend((0, 1, 2), 3 * BURST) > 1.1 * BURST:
                 await asyncio.sleep(0.1)
             for _ in range(5):
-                began = time.monotonic()
+                started_at = time.monotonic()
                 served = await fleet.spend((0, 1, 2), 3 * BURST)
-                assert served <= BURST + RATE * (time.monotonic() - began) + 2
+                assert served <= BURST + RATE * (time.monotonic() - started_at) + 2
                 assert served >= BURST - 2
 
     run(scenario)
 
 
-def test_a_fleet_whose_clocks_agree_keeps_them(tmp_path: Path) -> None:
+def test_clocks_that_agree_are_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with platform_fleet(tmp_path, 3) as fleet:
             await fleet.start((0, 1, 2))
@@ -83,7 +85,7 @@
     run(scenario)
 
 
-def test_messages_are_read_as_they_were_written_and_not_by_the_parts_of_ceilings() -> None:
+def test_messages_are_decoded_as_encoded_and_not_taken_for_those_of_lending() -> None:
     for message in (AskClock(2**64 - 1), TellClock(7, 1_796_000_000_000_000, 12)):
         data = write(message)
         assert read(data) == message
@@ -94,136 +96,138 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "wanted"),
+    ("others", "expected"),
     [
         ([], 0),
-        ([Reading(HOUR, 10)], HOUR),  # it has run for longer
+        ([Reading(HOUR, 10)], HOUR),  # it has the longer uptime
         ([Reading(HOUR, 4)], 0),  # it has not
         ([Reading(HOUR, 99), Reading(9, 1)], 9),
         ([Reading(HOUR, 1), Reading(HOUR, 2)], HOUR),
-        ([Reading(-HOUR, 9), Reading(-HOUR, 8), Reading(0, 7)], -HOUR),  # two and two: the oldest's
+        ([Reading(-HOUR, 9), Reading(-HOUR, 8), Reading(0, 7)], -HOUR),  # two and two: the longest uptime
         ([Reading(-HOUR, 1), Reading(-HOUR, 1), Reading(0, 9)], 0),
         ([Reading(HOUR, 99), Reading(0, 1), Reading(1, 1), Reading(-HOUR, 99)], 0),
     ],
 )
-def test_the_median_counts_and_of_two_the_older(others: list[Reading], wanted: int) -> None:
-    assert consensus_offset([Reading(0, 5), *others]) == wanted
+def test_the_median_is_used_and_of_two_the_clock_with_the_longer_uptime(
+    others: list[Reading], expected: int
+) -> None:
+    assert consensus_offset([Reading(0, 5), *others]) == expected
 
 
-def answer_of(question: bytes, clock: int, age: int = 10**9) -> TellClock:
-    asked = read(question)
-    assert isinstance(asked, AskClock)
-    return TellClock(asked.number, clock, age)
+def reply_to(data: bytes, clock: int, age: int = 10**9) -> TellClock:
+    query = read(data)
+    assert isinstance(query, AskClock)
+    return TellClock(query.number, clock, age)
 
 
 def survey(fleet: int = 3) -> ClockSurvey:
     return ClockSurvey(0, fleet, random.Random(1))
 
 
-def test_of_many_a_few_are_asked_and_only_who_has_not_answered_again() -> None:
+def test_a_few_gateways_are_queried_and_again_only_those_that_have_not_replied() -> None:
     large = survey(230)
     first = large.ask(0)
-    asked = [question.to for question in first]
-    assert len(set(asked)) == len(asked) == MAX_QUERIED and 0 not in asked
-    for question in first[:4]:
-        assert question.to is not None
-        large.heard(question.to, answer_of(question.data, HOUR), 2_000)
+    targets = [query.to for query in first]
+    assert len(set(targets)) == len(targets) == MAX_QUERIED and 0 not in targets
+    for query in first[:4]:
+        assert query.to is not None
+        large.heard(query.to, reply_to(query.data, HOUR), 2_000)
     assert not large.settled
     again = large.ask(50_000)
-    assert [question.to for question in again] == asked[4:]
-    question = again[0]
-    assert question.to is not None
-    large.heard(question.to, answer_of(question.data, HOUR + 51_000), 52_000)
+    assert [query.to for query in again] == targets[4:]
+    query = again[0]
+    assert query.to is not None
+    large.heard(query.to, reply_to(query.data, HOUR + 51_000), 52_000)
     assert large.settled
     assert abs(large.ahead(0) - HOUR) < 3_000
 
 
-def test_what_nobody_asked_or_another_was_asked_or_comes_late_tells_nothing() -> None:
+def test_unrequested_misdirected_and_late_replies_are_ignored() -> None:
     small = survey()
     one, other = small.ask(0)
     assert one.to is not None and other.to is not None
-    small.heard(other.to, answer_of(one.data, HOUR), 1_000)
+    small.heard(other.to, reply_to(one.data, HOUR), 1_000)
     small.heard(one.to, TellClock(3, HOUR, 10**9), 1_000)
-    small.heard(one.to, answer_of(one.data, HOUR), AGREE)  # this gateway, or the answer, was held up
+    small.heard(one.to, reply_to(one.data, HOUR), AGREE)  # this gateway, or the reply, was delayed
     assert small.ahead(0) == 0 and not small.settled
 
 
-def test_clocks_that_differ_by_less_than_machines_do_are_left_alone() -> None:
+def test_clocks_that_differ_by_less_than_the_tolerance_are_kept() -> None:
     small = survey()
-    for question in small.ask(0):
-        assert question.to is not None
-        small.heard(question.to, answer_of(question.data, AGREE - 1), 0)
+    for query in small.ask(0):
+        assert query.to is not None
+        small.heard(query.to, reply_to(query.data, AGREE - 1), 0)
     assert small.settled and small.ahead(0) == 0
 
 
-def test_a_gateway_alone_asks_nobody() -> None:
+def test_a_single_gateway_queries_nobody() -> None:
     alone = ClockSurvey(0, 1, random.Random(1))
     assert alone.settled and alone.ask(0) == [] and alone.ahead(0) == 0
 
 
-class Others:
-    """Two other gateways that answer, once they are there, by a clock that is an hour ahead."""
+class OtherGateways:
+    """Two other gateways that reply, once started, by a clock that is an hour ahead."""
 
-    def __init__(self, places: tuple[Address, ...], loop: asyncio.AbstractEventLoop) -> None:
-        self._places = places
-        self.ends = [Peers(places, number, lambda message: None, loop) for number in (1, 2)]
-        self.asked = 0
+    def __init__(self, addresses: tuple[Address, ...], loop: asyncio.AbstractEventLoop) -> None:
+        self._addresses = addresses
+        self.endpoints = [Peers(addresses, number, lambda message: None, loop) for number in (1, 2)]
+        self.queries = 0
 
-    async def come(self) -> None:
-        for number, end in zip((1, 2), self.ends, strict=True):
-            end.post = partial(self._answer, end)
-            await end.open(self._places[number])
+    async def start(self) -> None:
+        for number, endpoint in zip((1, 2), self.endpoints, strict=True):
+            endpoint.post = partial(self._answer, endpoint)
+            await endpoint.open(self._addresses[number])
 
-    def _answer(self, end: Peers, message: PeerMessage) -> None:
-        self.asked += 1
-        end.tell(0, write(answer_of(message.data, Clock().now() + HOUR)))
+    def _answer(self, endpoint: Peers, message: PeerMessage) -> None:
+        self.queries += 1
+        endpoint.tell(0, write(reply_to(message.data, Clock().now() + HOUR)))
 
 
-async def asking(places: tuple[Address, ...]) -> FleetClock:
-    peers = Peers(places, 0, lambda message: None, asyncio.get_running_loop())
-    await peers.open(places[0])
-    clock = FleetClock(peers, 0, len(places), random.Random(1))
+async def start_clock(addresses: tuple[Address, ...]) -> FleetClock:
+    peers = Peers(addresses, 0, lambda message: None, asyncio.get_running_loop())
+    await peers.open(addresses[0])
+    clock = FleetClock(peers, 0, len(addresses), random.Random(1))
     peers.post = clock.take
     return clock
 
 
-def test_who_could_not_be_heard_at_the_start_is_followed_later_and_then_asked_no_more(
+def test_gateways_unreachable_at_the_start_are_followed_later_and_then_queried_no_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(shared_clock, "FIRST_DELAY", 0.05)
-        loop, places = asyncio.get_running_loop(), (*free(), *free())[:3]
-        clock, others = await asking(places), Others(places, loop)
+        loop, addresses = asyncio.get_running_loop(), (*free(), *free())[:3]
+        clock, others = await start_clock(addresses), OtherGateways(addresses, loop)
         await clock.begin()
         assert abs(clock.clock.now() - Clock().now()) < AGREE
         shifts: list[int] = []
         clock.follow(shifts.append)
-        await others.come()
+        await others.start()
         assert clock._task is not None
         await clock._task
         assert len(shifts) == 1 and abs(shifts[0] - HOUR) < AGREE
         assert abs(clock.now() - Clock().now() - HOUR) < AGREE
-        assert others.asked >= 4  # and it took two surveys more to be sure
-        for end in (clock.peers, *others.ends):
-            end.close()
+        assert others.queries >= 4  # two further surveys confirmed it
+        for endpoint in (clock.peers, *others.endpoints):
+            endpoint.close()
 
     run(scenario)
 
 
-def test_what_begins_by_the_others_clock_tells_the_same_when_asked() -> None:
+def test_a_gateway_that_adopted_the_others_clock_replies_with_it() -> None:
     async def scenario() -> None:
-        loop, places = asyncio.get_running_loop(), (*free(), *free())[:3]
-        clock, others = await asking(places), Others(places, loop)
-        await others.come()
+        loop, addresses = asyncio.get_running_loop(), (*free(), *free())[:3]
+        clock, others = await start_clock(addresses), OtherGateways(addresses, loop)
+        await others.start()
         await clock.begin()
         assert abs(clock.clock.now() - Clock().now() - HOUR) < AGREE
-        heard: asyncio.Queue[PeerMessage] = asyncio.Queue()
-        others.ends[0].post = heard.put_nowait
-        others.ends[0].tell(0, write(AskClock(77)))
-        told = read((await heard.get()).data)
-        assert isinstance(told, TellClock) and told.number == 77
-        assert abs(told.clock - Clock().now() - HOUR) < AGREE
-        for end in (clock.peers, *others.ends):
-            end.close()
+        received: asyncio.Queue[PeerMessage] = asyncio.Queue()
+        others.endpoints[0].post = received.put_nowait
+        others.endpoints[0].tell(0, write(AskClock(77)))
+        reply = read((await received.get()).data)
+        assert isinstance(reply, TellClock) and reply.number == 77
+        assert abs(reply.clock - Clock().now() - HOUR) < AGREE
+        for endpoint in (clock.peers, *others.endpoints):
+            endpoint.close()
 
     run(scenario)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""The number of gateways while it changes: which steps there are, and that shares never pass the whole."""
+"""Changes of the number of gateways: which steps are allowed, and that shares never exceed the ceiling."""
 
 from collections import deque
 from dataclasses import dataclass, replace
@@ -8,14 +8,14 @@
 from lynxreel.fleet.views import Step, View, advise, problem
 
 
-def test_parts_of_gateways() -> None:
+def test_shares_of_gateways() -> None:
     assert [View(4).part(n) for n in (0, 3, 4)] == [1.0, 1.0, 0.0]
     assert [View(8, 4).part(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
     assert [View(3, 8).part(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "word"),
+    ("old", "new", "message"),
     [
         (View(4), View(8), "in one step"),
         (View(4), View(8, 5), "in one step"),
@@ -23,16 +23,16 @@
         (View(8, 4), View(5), "can only be settled"),
     ],
 )
-def test_steps_that_are_refused_say_what_to_do(old: View, new: View, word: str) -> None:
-    assert word in problem(old, new) and "mend: " in problem(old, new)
+def test_refused_changes_come_with_a_remedy(old: View, new: View, message: str) -> None:
+    assert message in problem(old, new) and "mend: " in problem(old, new)
 
 
-def test_steps_there_and_back() -> None:
+def test_allowed_changes() -> None:
     for old, new in ((View(4), View(8, 4)), (View(8, 4), View(8)), (View(8, 4), View(4)), (View(4), View(4))):
         assert problem(old, new) == ""
 
 
-def test_advice_waits_for_all_that_run() -> None:
+def test_advice_waits_for_all_running_gateways() -> None:
     joint = View(8, 4)
     advice = advise(joint, {"g0": joint, "g1": View(4), "g2": None})
     assert advice.step is Step.WAIT
@@ -42,73 +42,77 @@
 
 
 TARGETS = (View(2), View(3, 2), View(3), View(1, 3), View(1))
-MOST = 3
+MAX_GATEWAYS = 3
 
 
 @dataclass(frozen=True)
 class Model:
-    """Gateways and fronts that hear of targets in their own time, and an operator who goes by `advise`."""
+    """Gateways and fronts that adopt targets at different times, and an operator who follows `advise`."""
 
     target: int = 0
     views: tuple[View | None, ...] = (View(2), View(2), None)  # None: it does not run
     fronts: tuple[int, ...] = (2, 2)
 
-    def steps(self, deaf: int) -> "list[tuple[str, Model]]":
-        found = []
+    def steps(self, unresponsive: int) -> "list[tuple[str, Model]]":
+        successors = []
         target = TARGETS[self.target]
         for number, view in enumerate(self.views):
             if view is None:
                 if number < target.most:
-                    found.append((f"{number} starts", self._with(number, target)))
+                    successors.append((f"{number} starts", self._with(number, target)))
                 continue
-            if number != deaf and view != target and not problem(view, target):
-                found.append((f"{number} takes {target}", self._with(number, target)))
-            if number >= target.most or number == deaf:  # the deaf one may be ended by hand
-                found.append((f"{number} ends", self._with(number, None)))
+            if number != unresponsive and view != target and not problem(view, target):
+                successors.append((f"{number} takes {target}", self._with(number, target)))
+            if number >= target.most or number == unresponsive:  # an operator may end the unresponsive one
+                successors.append((f"{number} ends", self._with(number, None)))
         running = {str(n): view for n, view in enumerate(self.views) if view is not None}
         advice = advise(target, running)
         if advice.step is Step.MOVE_FRONTS:
             for front, number in enumerate(self.fronts):
                 if number != target.gateways:
                     fronts = (*self.fronts[:front], target.gateways, *self.fronts[front + 1 :])
-                    found.append((f"front {front} moves", replace(self, fronts=fronts)))
+                    successors.append((f"front {front} moves", replace(self, fronts=fronts)))
         settled = all(number == target.gateways for number in self.fronts)
         if advice.step is not Step.WAIT and settled and self.target + 1 < len(TARGETS):
-            found.append((f"{TARGETS[self.target + 1]} is given out", replace(self, target=self.target + 1)))
-        return found
+            successors.append(
+                (f"{TARGETS[self.target + 1]} is rolled out", replace(self, target=self.target + 1))
+            )
+        return successors
 
     def _with(self, number: int, view: View | None) -> "Model":
         return replace(self, views=(*self.views[:number], view, *self.views[number + 1 :]))
 
-    def worst(self) -> float:
-        """The most that one customer's sets hold of its ceiling, over customers and sizes of sets."""
-        most = 0.0
+    def max_total_share(self) -> float:
+        """The largest sum of shares that gateways hold of one ceiling, over customers and entry points."""
+        maximum = 0.0
         for first in range(6):
             for spread in (1, 2, 3):
-                asked: dict[int, float] = {}
+                shares: dict[int, float] = {}
                 for number in set(self.fronts):
                     size = min(spread, number)
                     for place in range(size):
                         gateway = (first + place) % number
-                        asked[gateway] = max(asked.get(gateway, 0.0), 1.0 / size)
-                held = 0.0
-                for gateway, share in asked.items():
+                        shares[gateway] = max(shares.get(gateway, 0.0), 1.0 / size)
+                share_sum = 0.0
+                for gateway, share in shares.items():
                     view = self.views[gateway]
-                    held += view.part(gateway) * share if view is not None else 0.0
-                most = max(most, held)
-        return most
+                    share_sum += view.part(gateway) * share if view is not None else 0.0
+                maximum = max(maximum, share_sum)
+        return maximum
 
 
-@pytest.mark.parametrize("deaf", [-1, 0, 1])
-def test_over_all_interleavings_shares_never_pass_the_whole(deaf: int) -> None:
-    waiting, seen, ends = deque([(Model(), "")]), set(), set()
-    while waiting:
-        model, path = waiting.popleft()
+@pytest.mark.parametrize("unresponsive", [-1, 0, 1])
+def test_shares_never_exceed_the_ceiling_in_any_interleaving(unresponsive: int) -> None:
+    queue, seen, reached = deque([(Model(), "")]), set(), set()
+    while queue:
+        model, path = queue.popleft()
         if model in seen:
             continue
         seen.add(model)
-        assert model.worst() <= 1.0 + 1e-9, path
-        ends.add(TARGETS[model.target])
-        waiting += [(after, f"{path}, {step}") for step, after in model.steps(deaf)]
-    assert TARGETS[-1] in ends, "the last view is reached, with a deaf one after that was ended by hand"
+        assert model.max_total_share() <= 1.0 + 1e-9, path
+        reached.add(TARGETS[model.target])
+        queue += [(successor, f"{path}, {step}") for step, successor in model.steps(unresponsive)]
+    assert TARGETS[-1] in reached, (
+        "the last view is reached, with an unresponsive gateway once it was ended by hand"
+    )
     assert len(seen) > 50
