--- a/mothgap/drill.py
+++ b/mothgap/drill.py
@@ -69,7 +69,7 @@
     return bytes(int(part) for part in host.split(".")) + int(port).to_bytes(2, "little")
 
 
-class Drill:
+class Adapter:
     """The gateway instances of one adapter process."""
 
     def __init__(self) -> None:
@@ -149,14 +149,14 @@
     return reader.unpack(FLOATS[count]) if count < len(FLOATS) else reader.unpack(struct.Struct(f"<{count}f"))
 
 
-def read_request(_: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_request(_: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     _, request, first, entries, units, plan, time_left, bits, cls, customer = fields
     return api.Request(
         request, cls, plan, customer, units, time_left, int(entries), int(first), bool(bits & 2)
     )
 
 
-def read_outcome(_: Drill, fields: tuple[Any, ...], reader: Reader) -> api.Event:
+def read_outcome(_: Adapter, fields: tuple[Any, ...], reader: Reader) -> api.Event:
     _, request, attempt, server, status, elapsed, final, used_percent, true_units = fields
     return api.Outcome(
         request,
@@ -171,39 +171,39 @@
     )
 
 
-def read_started(_: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_started(_: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     return api.Started(fields[1], fields[4], server_name(fields[3]), fields[2])
 
 
-def read_counted(_: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_counted(_: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     return api.Counted(fields[4], result_of(fields[1]), fields[2], fields[3])
 
 
-def read_members(drill: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_members(adapter: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     _, slot, kind_code, version = fields
     if kind_code not in (0, 1, 2, 3):
         raise WireError(f"unknown kind of list {kind_code}")
     kind = api.ListKind(kind_code)
     if kind is api.ListKind.FAILED:
         return api.Members(kind, version, ())
-    if slot not in drill.rosters:
+    if slot not in adapter.rosters:
         raise WireError(f"roster {slot} was never sent")
-    return api.Members(kind, version, drill.rosters[slot])
+    return api.Members(kind, version, adapter.rosters[slot])
 
 
-def read_probed(_: Drill, fields: tuple[Any, ...], reader: Reader) -> api.Event:
+def read_probed(_: Adapter, fields: tuple[Any, ...], reader: Reader) -> api.Event:
     return api.Probed(server_name(fields[2]), result_of(fields[3]), fields[1], read_load(reader))
 
 
-def read_peer(_: Drill, fields: tuple[Any, ...], reader: Reader) -> api.Event:
+def read_peer(_: Adapter, fields: tuple[Any, ...], reader: Reader) -> api.Event:
     return api.PeerMessage(fields[1], reader.read_bytes(fields[2]))
 
 
-def read_timer(_: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_timer(_: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     return api.Timer(fields[1])
 
 
-def read_expired(_: Drill, fields: tuple[Any, ...], __: Reader) -> api.Event:
+def read_expired(_: Adapter, fields: tuple[Any, ...], __: Reader) -> api.Event:
     return api.Expired(fields[1])
 
 
@@ -285,7 +285,7 @@
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the end of the input."""
-    drill = Drill()
+    adapter = Adapter()
     number = 0
     while header := read_exactly(source, BATCH_HEADER.size):
         number += 1
@@ -296,7 +296,7 @@
             body = read_exactly(source, length)
             if len(body) < length:
                 raise WireError(f"input ends {length - len(body)} bytes before the end of the frame")
-            reply = drill.handle_batch(now, count, body)
+            reply = adapter.handle_batch(now, count, body)
         except WireError as error:
             raise WireError(f"batch {number}: {error}") from None
         sink.write(reply)
--- a/mothgap/interface.py
+++ b/mothgap/interface.py
@@ -100,9 +100,8 @@
     worth: float
     late_worth: float = 0.0  # fraction of the worth that an answer after the aim earns
     group: Group = Group.ALL  # for KEYED
-    key_memory: int = (
-        0  # for KEYED: how long servers remember a key, from the first attempt that may have been executed
-    )
+    # For KEYED: how long servers remember a key, from the first attempt that may have been executed.
+    key_memory: int = 0
     streamed: bool = False
 
 
--- a/mothgap/shared_clock.py
+++ b/mothgap/shared_clock.py
@@ -137,8 +137,8 @@
         """Randomized delay until the next survey in seconds; None where no more are needed."""
         if self._confirmed >= CONFIRMING_SURVEYS:
             return None
-        wait, self._delay = self._delay, min(2 * self._delay, MAX_DELAY)
-        return wait * self._rng.uniform(0.5, 1.5)
+        delay, self._delay = self._delay, min(2 * self._delay, MAX_DELAY)
+        return delay * self._rng.uniform(0.5, 1.5)
 
     def over(self, survey: ClockSurvey, age: int) -> int:
         """Evaluate a survey: by how many microseconds to advance this gateway's clock; 0 to keep it.
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -76,7 +76,7 @@
 def test_the_example_outcome_record_of_the_protocol_page_is_read() -> None:
     raw = bytes.fromhex("03000000c4913a5d00000a124a078b13c80044480000015600030002000040400000e040")
     reader = drill.Reader(raw)
-    event = drill.read_outcome(drill.Drill(), reader.unpack(drill.EVENTS[12][1]), reader)
+    event = drill.read_outcome(drill.Adapter(), reader.unpack(drill.EVENTS[12][1]), reader)
     assert repr(event) == (
         "Outcome(request=1564119492, attempt=0, server='10.18.74.7:5003', result=<Result.OK: 'ok'>, "
         "elapsed=18500, final=True, used_percent=85, true_units=3.0, load=(3.0, 7.0))"
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -64,7 +64,9 @@
             result, total = Result.OK, counter.add(self.now, call.name, call.amount)
             if self.lag:
                 missing = [
-                    a for at, name, a in counter.adds if name == call.name and at > self.now - self.lag
+                    amount
+                    for at, name, amount in counter.adds
+                    if name == call.name and at > self.now - self.lag
                 ]
                 total -= sum(missing)
             if self.wrong_total is not None:
