--- a/mothgap/names.py
+++ b/mothgap/names.py
@@ -5,7 +5,7 @@
 from mothgap.interface import Plan
 
 SECOND = 1_000_000  # microseconds
-NAME_LIFE = 60 * SECOND  # microseconds; the longest lifetime of a name on the counter
+MAX_NAME_LIFETIME = 60 * SECOND  # microseconds; the longest lifetime of a name on the counter
 
 
 def window(customer: int, plan: Plan, now: int) -> tuple[int, int]:
@@ -13,7 +13,7 @@
 
     Windows of different customers begin at different times, which spreads the load on the counter.
     """
-    length = max(SECOND, min(NAME_LIFE // 2, int(plan.burst / plan.rate * SECOND)))
+    length = max(SECOND, min(MAX_NAME_LIFETIME // 2, int(plan.burst / plan.rate * SECOND)))
     return (now + customer * 7919 % length) // length, length
 
 
--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -56,8 +56,17 @@
     Watch,
     ZoneParts,
 )
-from mothgap.lending import LIFE, Ask, Give, Questions, held_back, in_set, read, write
-from mothgap.names import NAME_LIFE, SECOND, count_name, window
+from mothgap.lending import (
+    REPLY_TIMEOUT,
+    LoanReply,
+    LoanRequest,
+    PendingLoans,
+    decode,
+    encode,
+    is_entry_point,
+    reserved_units,
+)
+from mothgap.names import MAX_NAME_LIFETIME, SECOND, count_name, window
 from mothgap.state import MEAN_SPAN, PACE_SMOOTH, AttemptLimit, Customer, OpenRequest, Server, ServerKind
 
 METER_PATIENCE = 0.1  # of the class's aim; how long a request waits for its total
@@ -128,7 +137,7 @@
         self._zones: dict[int, float] = {}  # zones that the fleet uses in part
         self._kinds: dict[int, ServerKind] = {}
         self._warm_of: dict[int, int] = {}  # warm servers by kind, counted at `_warm_at`
-        self._warm_at = now - NAME_LIFE
+        self._warm_at = now - MAX_NAME_LIFETIME
         self._pooled: AttemptLimit | None = None  # one limit for all servers, in fleets of more than a few
         self._seldom = False  # more gateways than servers: most customers are met less than once in a window
         self._live, self._credit, self._credit_at = 0, 0.0, now  # attempts out; attempt-microseconds saved up
@@ -141,7 +150,7 @@
         self._amounts: dict[int, list[tuple[Customer, float]]] = {}
         self._usual = [0.0 for _ in settings.classes]  # running mean answer time by class
         # Counter calls failed in a row, each sent after the one before had; when the last one did.
-        self._failed, self._failed_at = 0, now - NAME_LIFE
+        self._failed, self._failed_at = 0, now - MAX_NAME_LIFETIME
         self._trial_at = now  # when to try next
         self._patience = [(0, 0) for _ in settings.classes]  # usual time left of a try, and votes for it
         self._firsts: dict[int, deque[int]] = {}  # by class: the time left of first tries, where clients tell
@@ -152,13 +161,14 @@
         self._longest = max(cls.aim for cls in settings.classes)
         self._credit = float(self._longest)
         self._part, self._filled, self._filled_at = 1.0, 0.0, now  # of ceilings; microseconds at a whole part
-        self._emptied, self._emptied_at = 0.0, now - NAME_LIFE  # on `_filled`, when all was handed back
+        # On `_filled`, when all was handed back.
+        self._emptied, self._emptied_at = 0.0, now - MAX_NAME_LIFETIME
         self._sums, self._sums_at = (0.0, 0.0), now - SUMS_KEPT  # held and limits of all servers, and when
         self._aside: dict[str, None] = {}  # what `_shunned` said last
         self._aside_at = now - SUMS_KEPT
         self._stopping: Stopping | None = None
         self._had_counter = settings.counter is not None  # one that goes still takes back what it was given
-        self._questions = Questions(settings.index, self._random)
+        self._questions = PendingLoans(settings.index, self._random)
         self._tokens: dict[int, tuple[int, int | None]] = {}  # timers: request, and attempt; None: its total
         self._token = 0
 
@@ -365,7 +375,7 @@
             # The ceiling's share starts empty at boot, so that no restart refills it; and where all of it has
             # been handed back, as another gateway may have served the customer meanwhile.
             customer.limit_at = self._emptied
-            if self._failed >= BREAKER_TRIP and self._now - self._emptied_at < NAME_LIFE:
+            if self._failed >= BREAKER_TRIP and self._now - self._emptied_at < MAX_NAME_LIFETIME:
                 customer.debt = plan.burst  # no total tells what it has used elsewhere
         elif customer.burst != plan.burst:
             customer.burst = plan.burst  # a plan's new figures hold for what is taken already, too
@@ -382,7 +392,7 @@
         customer.at = self._now
         spread = max(1, entry_points)
         customer.rate = plan.rate
-        full = plan.ceiling_burst - (held_back(plan) if self._s.limits.peers else 0.0)
+        full = plan.ceiling_burst - (reserved_units(plan) if self._s.limits.peers else 0.0)
         customer.fill, customer.full = plan.ceiling_rate / spread, max(0.0, full) / spread
         self._refill(customer)
         return customer
@@ -393,7 +403,7 @@
         quota = not customer.rate or customer.debt <= customer.rate * passed
         self._refill(customer)  # a part may have been lent since
         ceiling = not customer.fill or customer.full * self._part <= customer.ceiling
-        return passed > NAME_LIFE / 2 / SECOND and quota and ceiling
+        return passed > MAX_NAME_LIFETIME / 2 / SECOND and quota and ceiling
 
     def _refill(self, customer: Customer) -> None:
         """What has come to this gateway's share of the customer's ceiling since it was looked at."""
@@ -432,7 +442,7 @@
         units, job.customer.owed = units + min(job.customer.owed, job.customer.debt), 0.0
         self._asked.setdefault(name, []).append(waiting)
         self._amounts.setdefault(name, []).append((job.customer, units))
-        self._out.append(Count(name, units, min(NAME_LIFE, 2 * length)))
+        self._out.append(Count(name, units, min(MAX_NAME_LIFETIME, 2 * length)))
 
     def _on_counted(self, event: Counted) -> None:
         self._about = waiting = self._asked[event.name].pop(0)
@@ -607,7 +617,7 @@
                 self._ask(job, plan, 1)  # for the next one
         elif self._may_borrow(job, plan) and self._hopes(job):
             customer.waits.append(job)
-            self._set_timer(min(LIFE, self._patience_of(job)), job.request.id, WAIT_OVER)
+            self._set_timer(min(REPLY_TIMEOUT, self._patience_of(job)), job.request.id, WAIT_OVER)
         else:
             self._end(job, Cause.CEILING)
 
@@ -618,26 +628,28 @@
 
     def _hopes(self, job: OpenRequest) -> bool:
         """Questions are out for its customer."""
-        return self._questions.out(job.request.customer, self._now) > 0
+        return self._questions.count_pending(job.request.customer, self._now) > 0
 
     def _ask(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
         request, customer = job.request, job.customer
         full = customer.full * self._part
         wanted = max(request.units - customer.ceiling, (full - customer.ceiling) / gateways)
-        ask = Ask(request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry)
+        ask = LoanRequest(
+            request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry
+        )
         for _ in range(min(gateways, ASK_MOST - job.asks)):
-            tell = self._questions.ask(ask, self._s.fleet_size, self._now)
+            tell = self._questions.request(ask, self._s.fleet_size, self._now)
             if tell is not None:
                 job.asks += 1
                 self._out.append(tell)
 
     def _on_peer(self, event: PeerMessage) -> None:
         """A question for a part of a ceiling, or the answer to one; anything else is dropped."""
-        message = read(event.data)
-        if isinstance(message, Ask):
+        message = decode(event.data)
+        if isinstance(message, LoanRequest):
             self._lend(message, event.sender)
-        elif isinstance(message, Give):
-            units = self._questions.answered(message, event.sender, self._now)
+        elif isinstance(message, LoanReply):
+            units = self._questions.accept_reply(message, event.sender, self._now)
             customer = self._customers.get(message.customer)
             if units is not None and customer is not None:
                 self._refill(customer)
@@ -645,25 +657,27 @@
                 self._go_on(customer)
                 self._refill(customer)  # what nobody waits for is saved up within this gateway's part
 
-    def _lend(self, ask: Ask, sender: int) -> None:
+    def _lend(self, ask: LoanRequest, sender: int) -> None:
         """What is taken off here counts for the sender. Nothing is lent to or by a gateway without a part."""
         fleet = self._s.fleet_size
         if not self._s.limits.peers:  # a reload may have ruled messages out while one was on its way
             return
-        known = ask.plan < len(self._s.plans) and 1 < ask.spread <= fleet and sender != self._s.index
-        if not known or not all(in_set(n, ask.first, ask.spread, fleet) for n in (sender, self._s.index)):
+        known = ask.plan < len(self._s.plans) and 1 < ask.entry_points <= fleet and sender != self._s.index
+        if not known or not all(
+            is_entry_point(n, ask.first_entry, ask.entry_points, fleet) for n in (sender, self._s.index)
+        ):
             return
         plan = self._s.plans[ask.plan]
         customer = self._customers.get(ask.customer)
         if customer is None and plan.ceiling_rate > 0:
-            customer = self._customer(ask.customer, plan, ask.spread)
+            customer = self._customer(ask.customer, plan, ask.entry_points)
         units = 0.0
         if customer is not None and customer.fill > 0 and not customer.waits:
             self._refill(customer)
             keep = 0.5 if self._now - customer.here_at < GIVE_BUSY else 0.0
             units = max(0.0, min(ask.units, customer.ceiling * (1.0 - keep)))
             customer.ceiling -= units
-        self._out.append(Tell(sender, write(Give(ask.customer, ask.number, units))))
+        self._out.append(Tell(sender, encode(LoanReply(ask.customer, ask.loan_id, units))))
 
     def _go_on(self, customer: Customer) -> None:
         """Requests that wait go on in their order, ask once more, or are told that there is nothing."""
@@ -1142,7 +1156,7 @@
             and (not parts or crc32(each % s.line.server.encode()) < parts.get(s.line.zone, 1.0) * 2**32)
         ]  # fmt: skip
         # In large fleets each gateway keeps to a few servers, by its number, and so meets them often enough.
-        self._near, self._warm_at = self._ready, self._now - NAME_LIFE
+        self._near, self._warm_at = self._ready, self._now - MAX_NAME_LIFETIME
         self._sums_at = self._aside_at = self._now - SUMS_KEPT
         if self._s.fleet_size > len(self._ready) > SAMPLE:
             order = sorted(self._ready, key=lambda s: s.line.server)
--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -8,7 +8,7 @@
 import math
 
 from mothgap.interface import Member, Request, RequestClass
-from mothgap.names import NAME_LIFE, SECOND
+from mothgap.names import MAX_NAME_LIFETIME, SECOND
 
 CLOCKS_AGREE = 60 * SECOND  # microseconds; news of a start is never as late as this
 EDGE_MOST = 0.5  # of the burst that is kept free for what other gateways have not told yet
@@ -60,8 +60,8 @@
         self.ceiling, self.limit_at = 0.0, 0.0  # what the ceiling allows, and where on `_filled` that was
         self.rate = 0.0  # of the quota
         self.fill, self.full = 0.0, 0.0  # what an even share of it refills a second, and holds
-        self.here_at = now - NAME_LIFE  # when a request of it last came here
-        self.short_at = now - NAME_LIFE  # when it was last found to have no room
+        self.here_at = now - MAX_NAME_LIFETIME  # when a request of it last came here
+        self.short_at = now - MAX_NAME_LIFETIME  # when it was last found to have no room
         self.open = 0
         self.waits: list[OpenRequest] = []  # requests that wait for a part of the ceiling from other gateways
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -18,7 +18,16 @@
     State,
     Tell,
 )
-from mothgap.lending import LIFE, MAX_PENDING, Ask, Give, Questions, held_back, read, write
+from mothgap.lending import (
+    MAX_PENDING,
+    REPLY_TIMEOUT,
+    LoanReply,
+    LoanRequest,
+    PendingLoans,
+    decode,
+    encode,
+    reserved_units,
+)
 from tests.gateways import Gateways, Ledger
 from tests.helpers import CUSTOMER, MS, SECOND, SETTINGS, START
 
@@ -27,7 +36,7 @@
 LENT = replace(
     SETTINGS, plans=(PLAN,), fleet_size=FLEET, units_top=2.0, limits=replace(SETTINGS.limits, peers=True)
 )
-ASKED = Ask(CUSTOMER, 0, 3.0, 0, FLEET, 0)
+ASKED = LoanRequest(CUSTOMER, 0, 3.0, 0, FLEET, 0)
 
 
 def call(units: float = 1.0) -> dict[str, object]:
@@ -66,11 +75,11 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-@pytest.mark.parametrize("max_delay", [LIFE // 2, 3 * LIFE])
+@pytest.mark.parametrize("max_delay", [REPLY_TIMEOUT // 2, 3 * REPLY_TIMEOUT])
 def test_the_ceiling_holds_while_messages_are_delayed_lost_and_duplicated(max_delay: int, seed: int) -> None:
     fleet = Gateways(LENT, seed, way=(1 * MS, max_delay), lost=0.1, twice=0.3)
     ledger = run_traffic(fleet, 20, 60.0, 2.0)
-    assert fleet.messages > (1_000 if max_delay < LIFE else 200)
+    assert fleet.messages > (1_000 if max_delay < REPLY_TIMEOUT else 200)
     assert ledger.lowest >= -PLAN.ceiling_slack
     unlent = run_traffic(Gateways(replace(LENT, limits=SETTINGS.limits), seed), 20, 60.0, 2.0)
     assert ledger.taken > 0.7 * unlent.taken  # late replies are lost, so few requests may be sent in vain
@@ -78,7 +87,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_ceiling_holds_while_gateways_crash_and_restart(seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, 2 * LIFE), lost=0.05, twice=0.2)
+    fleet = Gateways(LENT, seed, way=(1 * MS, 2 * REPLY_TIMEOUT), lost=0.05, twice=0.2)
     ledger = run_traffic(fleet, 20, 60.0, 2.0, restarts=2.0)
     assert ledger.lowest >= -PLAN.ceiling_slack
 
@@ -95,71 +104,77 @@
 
 
 def test_without_slack_enough_is_reserved_for_late_replies() -> None:
-    assert held_back(PLAN) == 0.0
+    assert reserved_units(PLAN) == 0.0
     no_slack = replace(PLAN, ceiling_slack=0.0)
-    assert held_back(no_slack) == pytest.approx(no_slack.ceiling_rate * LIFE / SECOND)
+    assert reserved_units(no_slack) == pytest.approx(no_slack.ceiling_rate * REPLY_TIMEOUT / SECOND)
     for seed in range(4):
-        fleet = Gateways(replace(LENT, plans=(no_slack,)), seed, way=(1 * MS, LIFE))
+        fleet = Gateways(replace(LENT, plans=(no_slack,)), seed, way=(1 * MS, REPLY_TIMEOUT))
         assert run_traffic(fleet, 20, 60.0, 2.0).lowest >= -1e-6
 
 
 def test_messages_are_decoded_as_encoded_and_units_only_rounded_down() -> None:
-    assert read(write(ASKED)) == ASKED
+    assert decode(encode(ASKED)) == ASKED
     for units in (0.0, 0.3, 1.9996, 7.0):
-        give = read(write(Give(CUSTOMER, 9, units)))
-        assert isinstance(give, Give)
-        assert units - 0.001 <= give.units <= units
-    assert len(write(ASKED)) <= 256
+        reply = decode(encode(LoanReply(CUSTOMER, 9, units)))
+        assert isinstance(reply, LoanReply)
+        assert units - 0.001 <= reply.units <= units
+    assert len(encode(ASKED)) <= 256
 
 
 def test_truncated_or_unknown_data_is_no_message() -> None:
-    messages = [write(ASKED), write(Give(CUSTOMER, 9, 1.0))]
+    messages = [encode(ASKED), encode(LoanReply(CUSTOMER, 9, 1.0))]
     for data in messages:
-        assert all(read(data[:size]) is None for size in range(len(data)))
-        assert read(data + b"x") is None
-        assert read(bytes((data[0] + 1,)) + data[1:]) is None
-        assert read(data[:1] + b"\x07" + data[2:]) is None
+        assert all(decode(data[:size]) is None for size in range(len(data)))
+        assert decode(data + b"x") is None
+        assert decode(bytes((data[0] + 1,)) + data[1:]) is None
+        assert decode(data[:1] + b"\x07" + data[2:]) is None
     rng = random.Random(4)
-    assert all(read(rng.randbytes(rng.randrange(40))) is None for _ in range(2_000))
+    assert all(decode(rng.randbytes(rng.randrange(40))) is None for _ in range(2_000))
 
 
 def test_a_reply_is_accepted_once_in_time_and_from_the_queried_gateway() -> None:
-    pending = Questions(2, random.Random(1))
-    tells = [pending.ask(ASKED, FLEET, START) for _ in range(4)]
+    pending = PendingLoans(2, random.Random(1))
+    messages = [pending.request(ASKED, FLEET, START) for _ in range(4)]
     requests = []
-    for tell in tells:
-        assert tell is not None and tell.to is not None
-        request = read(tell.data)
-        assert isinstance(request, Ask) and request.units == 3.0
-        requests.append((tell.to, request.number))
+    for message in messages:
+        assert message is not None and message.to is not None
+        request = decode(message.data)
+        assert isinstance(request, LoanRequest) and request.units == 3.0
+        requests.append((message.to, request.loan_id))
     (to, number), (other, second), (_, third), _ = requests
-    assert pending.answered(Give(CUSTOMER, number, 2.0), to + 1, START) is None  # another gateway
-    assert pending.answered(Give(CUSTOMER + 1, number, 2.0), to, START) is None  # another customer
-    assert pending.answered(Give(CUSTOMER, 12345, 2.0), to, START) is None  # no such request
-    assert pending.answered(Give(CUSTOMER, number, 2.0), to, START + LIFE) == 2.0
-    assert pending.answered(Give(CUSTOMER, number, 2.0), to, START) is None  # a duplicate
-    assert pending.answered(Give(CUSTOMER, second, 9.0), other, START) == 3.0  # more than was requested
-    assert pending.out(CUSTOMER, START) == 2
-    assert pending.answered(Give(CUSTOMER, third, 1.0), requests[2][0], START + LIFE + 1) is None
-    assert pending.out(CUSTOMER, START + LIFE) == 2
-    assert pending.out(CUSTOMER, START + LIFE + 1) == 0
+    assert pending.accept_reply(LoanReply(CUSTOMER, number, 2.0), to + 1, START) is None  # another gateway
+    assert pending.accept_reply(LoanReply(CUSTOMER + 1, number, 2.0), to, START) is None  # another customer
+    assert pending.accept_reply(LoanReply(CUSTOMER, 12345, 2.0), to, START) is None  # no such request
+    assert pending.accept_reply(LoanReply(CUSTOMER, number, 2.0), to, START + REPLY_TIMEOUT) == 2.0
+    assert pending.accept_reply(LoanReply(CUSTOMER, number, 2.0), to, START) is None  # a duplicate
+    assert pending.accept_reply(LoanReply(CUSTOMER, second, 9.0), other, START) == 3.0  # 3 were requested
+    assert pending.count_pending(CUSTOMER, START) == 2
+    assert (
+        pending.accept_reply(LoanReply(CUSTOMER, third, 1.0), requests[2][0], START + REPLY_TIMEOUT + 1)
+        is None
+    )
+    assert pending.count_pending(CUSTOMER, START + REPLY_TIMEOUT) == 2
+    assert pending.count_pending(CUSTOMER, START + REPLY_TIMEOUT + 1) == 0
 
 
 def test_requests_go_to_all_other_gateways_of_the_customer_and_no_others() -> None:
     for index in (0, 5, 11):
-        pending, lenders = Questions(index, random.Random(index)), set()
+        pending, lenders = PendingLoans(index, random.Random(index)), set()
         for _ in range(400):
-            tell = pending.ask(replace(ASKED, spread=4, first=10), FLEET, START)
-            assert tell is not None
-            lenders.add(tell.to)
+            message = pending.request(replace(ASKED, entry_points=4, first_entry=10), FLEET, START)
+            assert message is not None
+            lenders.add(message.to)
         assert lenders == {10, 11, 0, 1} - {index}
-    assert Questions(3, random.Random(1)).ask(replace(ASKED, spread=1, first=3), FLEET, START) is None
+    assert (
+        PendingLoans(3, random.Random(1)).request(replace(ASKED, entry_points=1, first_entry=3), FLEET, START)
+        is None
+    )
 
 
 def test_unanswered_requests_are_evicted() -> None:
-    pending = Questions(0, random.Random(1))
+    pending = PendingLoans(0, random.Random(1))
     for number in range(2 * MAX_PENDING):
-        pending.ask(replace(ASKED, customer=number), FLEET, START)
+        pending.request(replace(ASKED, customer=number), FLEET, START)
     assert len(pending._pending) == MAX_PENDING
     assert len(pending._pending_by_customer) == MAX_PENDING
 
@@ -168,16 +183,16 @@
     """The actions of gateway 1, which has saved up its whole share, on a request from `sender`."""
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
-    ask = replace(ASKED, number=5, **fields)  # type: ignore[arg-type]
-    return fleet.gateways[1].handle(fleet.now, PeerMessage(sender, write(ask)))
+    data = replace(ASKED, loan_id=5, **fields)  # type: ignore[arg-type]
+    return fleet.gateways[1].handle(fleet.now, PeerMessage(sender, encode(data)))
 
 
 def lent_units(actions: list[Action]) -> float:
-    (tell,) = actions
-    assert isinstance(tell, Tell) and tell.to == 4
-    give = read(tell.data)
-    assert isinstance(give, Give) and give.number == 5
-    return give.units
+    (message,) = actions
+    assert isinstance(message, Tell) and message.to == 4
+    reply = decode(message.data)
+    assert isinstance(reply, LoanReply) and reply.loan_id == 5
+    return reply.units
 
 
 def test_a_gateway_lends_what_it_has_only_to_gateways_of_the_customer() -> None:
@@ -186,11 +201,11 @@
     for sender in (1, 99):
         assert reply_to(sender) == []
     for invalid in (
-        {"spread": 3},
-        {"spread": 0},
-        {"spread": 999},
+        {"entry_points": 3},
+        {"entry_points": 0},
+        {"entry_points": 999},
         {"plan": 7},
-        {"first": 60_000, "spread": 2},
+        {"first_entry": 60_000, "entry_points": 2},
     ):
         assert reply_to(4, **invalid) == []
 
@@ -201,11 +216,13 @@
     fleet.request(1, **call())
     units = []
     for number in range(3):
-        ask = write(replace(ASKED, number=number, units=9.0))
-        (tell,) = (a for a in fleet.gateways[1].handle(fleet.now, PeerMessage(4, ask)) if isinstance(a, Tell))
-        give = read(tell.data)
-        assert isinstance(give, Give)
-        units.append(give.units)
+        data = encode(replace(ASKED, loan_id=number, units=9.0))
+        (message,) = (
+            a for a in fleet.gateways[1].handle(fleet.now, PeerMessage(4, data)) if isinstance(a, Tell)
+        )
+        reply = decode(message.data)
+        assert isinstance(reply, LoanReply)
+        units.append(reply.units)
     assert units == [2.0, 1.0, 0.5]
 
 
@@ -220,8 +237,8 @@
 
     fleet.on = record
     fleet.request(0, **call(2.0))
-    fleet.run(START + LIFE - 1)
-    assert refused or fleet.gateways[0]._questions.out(CUSTOMER, fleet.now)
+    fleet.run(START + REPLY_TIMEOUT - 1)
+    assert refused or fleet.gateways[0]._questions.count_pending(CUSTOMER, fleet.now)
     fleet.run(START + SECOND)
     assert len(refused) == 1
     assert refused[0] <= START + 200 * MS
@@ -267,9 +284,9 @@
 
 def test_random_bytes_from_any_gateway_do_no_harm() -> None:
     fleet, rng = Gateways(LENT, 1), random.Random(7)
-    message = write(ASKED)
+    message = encode(ASKED)
     for _ in range(3_000):
-        data = bytearray(message if rng.random() < 0.7 else write(Give(CUSTOMER, 3, 9.0)))
+        data = bytearray(message if rng.random() < 0.7 else encode(LoanReply(CUSTOMER, 3, 9.0)))
         for _ in range(rng.randrange(4)):
             data[rng.randrange(2, len(data))] = rng.randrange(256)
         actions = fleet.gateways[0].handle(fleet.now, PeerMessage(rng.randrange(20), bytes(data)))
@@ -317,14 +334,14 @@
     fleet.run(START + 60 * SECOND)
     fleet.request(1, **call())
     fleet.run(START + 100 * SECOND)  # refilled, and long inactive
-    ask = write(replace(ASKED, units=9.0))
-    fleet.gateways[1].handle(fleet.now, PeerMessage(4, ask))
+    data = encode(replace(ASKED, units=9.0))
+    fleet.gateways[1].handle(fleet.now, PeerMessage(4, data))
     for customer in range(1_000, 1_100):
         fleet.request(1, **call() | {"customer": customer})
-    (tell,) = fleet.gateways[1].handle(fleet.now, PeerMessage(4, ask))
-    assert isinstance(tell, Tell)
-    give = read(tell.data)
-    assert isinstance(give, Give) and give.units < 0.1
+    (message,) = fleet.gateways[1].handle(fleet.now, PeerMessage(4, data))
+    assert isinstance(message, Tell)
+    reply = decode(message.data)
+    assert isinstance(reply, LoanReply) and reply.units < 0.1
 
 
 def test_loans_from_several_gateways_add_up_for_a_waiting_request() -> None:
@@ -332,7 +349,7 @@
     fleet = Gateways(replace(LENT, plans=(small,)), 2, way=(1 * MS, 5 * MS))
     fleet.now += 60 * SECOND
     for number in range(1, FLEET):
-        fleet.gateways[number].handle(fleet.now, PeerMessage(0, write(replace(ASKED, units=0.6))))
+        fleet.gateways[number].handle(fleet.now, PeerMessage(0, encode(replace(ASKED, units=0.6))))
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     fleet.request(0, **call(2.0))  # a share is 1, and no gateway has more than 0.4 left
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -23,7 +23,7 @@
     Settings,
     State,
 )
-from mothgap.lending import Ask, write
+from mothgap.lending import LoanRequest, encode
 from tests.helpers import (
     CEILING,
     CUSTOMER,
@@ -180,7 +180,7 @@
 def test_a_loan_request_gets_no_reply_once_messages_are_not_allowed() -> None:
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, peers=True)))
     driver.adopt(SETTINGS)
-    assert driver.feed(PeerMessage(1, write(Ask(CUSTOMER, 1, 1.0, CEILING, 3, 0)))) == []
+    assert driver.feed(PeerMessage(1, encode(LoanRequest(CUSTOMER, 1, 1.0, CEILING, 3, 0)))) == []
 
 
 def test_an_attempt_in_flight_is_not_cancelled_once_that_is_not_allowed() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 from lynxreel.peers.datagrams import MAX_DATAGRAM, Peers
 from lynxreel.protocol.address import Address
 from mothgap.interface import ListKind, Member, Members, PeerMessage, Request, State, Tell
-from mothgap.lending import Ask, read, write
+from mothgap.lending import LoanRequest, decode, encode
 from tests.gateways import Gateways
 from tests.helpers import CUSTOMER, SECOND, SETTINGS
 from tests.net import LOCAL, NAMES, Peer, run
@@ -185,9 +185,9 @@
         received: asyncio.Queue[PeerMessage] = asyncio.Queue()
         borrower = Peers(addresses, 0, received.put_nowait, loop)
         await borrower.open(addresses[0])
-        borrower.tell(1, write(replace(ASKED, spread=2, number=9, units=0.001)))
-        answer = read((await received.get()).data)
-        assert answer is not None and not isinstance(answer, Ask) and answer.number == 9
+        borrower.tell(1, encode(replace(ASKED, entry_points=2, loan_id=9, units=0.001)))
+        answer = decode((await received.get()).data)
+        assert answer is not None and not isinstance(answer, LoanRequest) and answer.loan_id == 9
         borrower.close()
         node.close()
 
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -16,7 +16,7 @@
     Settings,
     State,
 )
-from mothgap.lending import Ask, write
+from mothgap.lending import LoanRequest, encode
 from tests.helpers import MS, SECOND, SETTINGS, Driver, line
 
 RESULTS = list(Result)
@@ -101,8 +101,8 @@
         elif step == "settings":
             driver.adopt(reloaded(driver.settings, number))
         elif step == "peer":
-            ask = Ask(number % 4, number, 1.0, number % 5, 3, 0)
-            driver.feed(PeerMessage(1 + number % 2, write(ask)))
+            ask = LoanRequest(number % 4, number, 1.0, number % 5, 3, 0)
+            driver.feed(PeerMessage(1 + number % 2, encode(ask)))
     answer_due_calls(driver)
     driver.wait(10 * SECOND)
     assert all(life.over for life in driver.lives.values())
--- a/tests/test_shared_clock.py
+++ b/tests/test_shared_clock.py
@@ -89,10 +89,10 @@
     for message in (AskClock(2**64 - 1), TellClock(7, 1_796_000_000_000_000, 12)):
         data = write(message)
         assert read(data) == message
-        assert lending.read(data) is None
+        assert lending.decode(data) is None
         assert read(data[:-1]) is None and read(data + b"\0") is None
         assert read(bytes([lending.VERSION + 1]) + data[1:]) is None
-    assert read(lending.write(lending.Give(1, 2, 3.0))) is None
+    assert read(lending.encode(lending.LoanReply(1, 2, 3.0))) is None
 
 
 @pytest.mark.parametrize(
