--- a/bench/lending.py
+++ b/bench/lending.py
@@ -8,7 +8,7 @@
 
 from mothgap.interface import Action, Send
 from tests.gateways import Gateways, Ledger
-from tests.test_lending import FLEET, LENT, PLAN, call
+from tests.test_lending import FLEET, LENT, PLAN, request_fields
 
 SECOND = 1_000_000
 SKEWS = (1.0, 2.0, 3.0)  # the higher, the more comes to the first gateways
@@ -36,7 +36,7 @@
         probe = _level(fits, fleet.now)
         if probe >= units[number]:
             fits.take(units[number], fleet.now)
-        fleet.request(int(chance.random() ** skew * FLEET), **call(units[number]))
+        fleet.request(int(chance.random() ** skew * FLEET), **request_fields(units[number]))
     fleet.run(fleet.now + SECOND)
     return ledger.taken / fits.taken, max(0.0, -ledger.lowest), fleet.messages / number
 
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -20,7 +20,7 @@
 from lynxreel.standins.registry import Registry, entry
 from lynxreel.standins.runs import RunLog
 from tests.system_faults import SystemFaults
-from tests.test_drill import FACTS
+from tests.test_drill import SETTINGS_OBJECT
 from tests.test_process import ROOT, RUN
 
 BURST, RATE = 100, 2.0  # units, and units a second, of the only plan
@@ -136,7 +136,7 @@
 
     def _configuration(self, number: int) -> dict[str, object]:
         settings = {
-            **FACTS, "classes": [{**FACTS["classes"][0], "name": "lookup"}],
+            **SETTINGS_OBJECT, "classes": [{**SETTINGS_OBJECT["classes"][0], "name": "lookup"}],
             "fleetSize": self.count, "selfIndex": number, "unknown": [],
             "packages": [{"name": "basic", "quotaRate": RATE, "mostAtOnce": BURST}],
             "limits": {"maxAttempts": 3, "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000,
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -27,7 +27,7 @@
 from tests.soak.peers import Client, Server
 from tests.soak.referee import MOST_ATTEMPTS, judge, told
 from tests.soak.schedule import DRAIN_ACCEPT, DRAIN_CUT_OFF, STALL, CounterState, Program, Schedule, draw
-from tests.test_drill import FACTS
+from tests.test_drill import SETTINGS_OBJECT
 from tests.test_process import ROOT, RUN
 
 START = 30.0  # seconds that a start may take
@@ -261,13 +261,13 @@
         counts = self.schedule.counter is not CounterState.MISSING
         classes = [
             {
-                **FACTS["classes"][0], "name": cls.name, "effect": cls.effect.value,
+                **SETTINGS_OBJECT["classes"][0], "name": cls.name, "effect": cls.effect.value,
                 "giveUpUs": int(cls.deadline * 1e6), "goalTimeUs": int(cls.deadline * 1e6),
             }
             for cls in self.schedule.classes
         ]  # fmt: skip
         settings = {
-            **FACTS, "classes": classes, "fleetSize": 1, "selfIndex": 0, "unknown": [],
+            **SETTINGS_OBJECT, "classes": classes, "fleetSize": 1, "selfIndex": 0, "unknown": [],
             "packages": [{"name": "basic", "quotaRate": self._burst / 2, "mostAtOnce": self._burst}],
             "limits": {"maxAttempts": MOST_ATTEMPTS, "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
             "extra": {"counter": counts, "countLimitUs": 50_000, "unitsTop": 1},
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,7 +10,7 @@
 from mothgap.rules import KEPT_FOR
 from mothgap.settings import read_settings
 from tests.helpers import KEYED, MS, SECOND, SETTINGS, START, Driver, line
-from tests.test_drill import FACTS
+from tests.test_drill import SETTINGS_OBJECT
 
 MANY = replace(SETTINGS, counter=None, fleet_size=1)
 
@@ -137,8 +137,8 @@
 
 
 def test_the_price_of_a_handshake_is_read_and_none_where_it_is_not_told() -> None:
-    assert read_settings({**FACTS, "prices": {"handshake": 0.07, "odd": 1}}).handshake_price == 0.07
-    assert read_settings({k: v for k, v in FACTS.items() if k != "prices"}).handshake_price == 0.0
+    assert read_settings({**SETTINGS_OBJECT, "prices": {"handshake": 0.07, "odd": 1}}).handshake_price == 0.07
+    assert read_settings({k: v for k, v in SETTINGS_OBJECT.items() if k != "prices"}).handshake_price == 0.0
 
 
 def used(driver: Driver, count: int = 300) -> set[str]:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -11,7 +11,7 @@
 
 from mothgap import drill
 
-FACTS: dict[str, Any] = {
+SETTINGS_OBJECT: dict[str, Any] = {
     "classes": [
         {"effect": "repeatable", "gain": 1.0, "giveUpUs": 3000000, "goalTimeUs": 1000000, "group": "all",
          "lateWorth": 0.0, "streamed": False, "windowUs": 5000000, "fresh": 1},
@@ -34,7 +34,7 @@
 
 
 def boot(instance: int = 3, settings: bytes | None = None) -> bytes:
-    text = json.dumps(FACTS).encode() if settings is None else settings
+    text = json.dumps(SETTINGS_OBJECT).encode() if settings is None else settings
     return struct.pack("<HIQI", 1, instance, 99, len(text)) + text
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -39,7 +39,7 @@
 ASKED = LoanRequest(CUSTOMER, 0, 3.0, 0, FLEET, 0)
 
 
-def call(units: float = 1.0) -> dict[str, object]:
+def request_fields(units: float = 1.0) -> dict[str, object]:
     fields: dict[str, object] = {"cls": 0, "plan": 0, "customer": CUSTOMER, "units": units}
     return fields | {"time_left": 3 * SECOND, "entry_points": FLEET, "first_entry": 0}
 
@@ -64,7 +64,7 @@
         number += 1
         cost = float(rng.choice((1, 2)))
         units[number] = cost
-        assert fleet.request(int(rng.random() ** skew * FLEET), **call(cost)) == number
+        assert fleet.request(int(rng.random() ** skew * FLEET), **request_fields(cost)) == number
         if restarts and rng.random() < restarts / rate:
             fleet.restart(rng.randrange(FLEET))
     fleet.run(fleet.now + 5 * SECOND)
@@ -213,7 +213,7 @@
 def test_a_gateway_keeps_half_for_an_active_customer_and_lends_no_unit_twice() -> None:
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
-    fleet.request(1, **call())
+    fleet.request(1, **request_fields())
     units = []
     for number in range(3):
         data = encode(replace(ASKED, loan_id=number, units=9.0))
@@ -236,7 +236,7 @@
             refused.append(fleet.now)
 
     fleet.on = record
-    fleet.request(0, **call(2.0))
+    fleet.request(0, **request_fields(2.0))
     fleet.run(START + REPLY_TIMEOUT - 1)
     assert refused or fleet.gateways[0]._questions.count_pending(CUSTOMER, fleet.now)
     fleet.run(START + SECOND)
@@ -251,7 +251,7 @@
     fleet.on = lambda gateway, action: (
         sent.append((action.request, action.server)) if isinstance(action, Send) else None
     )
-    waiting = [fleet.request(0, **call(2.0)) for _ in range(6)]
+    waiting = [fleet.request(0, **request_fields(2.0)) for _ in range(6)]
     fleet.run(fleet.now + 10 * MS)
     before = {request for request, _ in sent}
     assert len(before) < len(waiting)
@@ -266,7 +266,7 @@
     fleet = Gateways(LENT, 1, way=(90 * MS, 90 * MS))
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
-    request = fleet.request(0, **call(2.0))
+    request = fleet.request(0, **request_fields(2.0))
     fleet.run(START + 20 * MS)
     waiting = fleet.gateways[0]._customers[CUSTOMER].waits
     assert [job.request.id for job in waiting] == [request]
@@ -299,7 +299,7 @@
     fleet = Gateways(LENT, 1, way=(1 * MS, 1 * MS))
     refused: list[int] = []
     fleet.on = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
-    fleet.request(0, **call(2.0))
+    fleet.request(0, **request_fields(2.0))
     fleet.run(START + SECOND)
     assert len(refused) == 1
     assert refused[0] <= START + 20 * MS
@@ -311,7 +311,7 @@
     fleet.now += 60 * SECOND
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
-    fleet.request(0, **call(2.0))  # a share is 1.5
+    fleet.request(0, **request_fields(2.0))  # a share is 1.5
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
     assert fleet.gateways[0]._customers[CUSTOMER].ceiling <= 1.5
@@ -320,10 +320,10 @@
 def test_a_low_share_is_topped_up_before_it_is_needed() -> None:
     fleet = Gateways(LENT, 1)
     fleet.now += 60 * SECOND
-    fleet.request(0, **call(1.0))
+    fleet.request(0, **request_fields(1.0))
     fleet.run(fleet.now + 20 * MS)
     assert fleet.messages == 0  # 3 of 4 units are left
-    fleet.request(0, **call(2.0))
+    fleet.request(0, **request_fields(2.0))
     fleet.run(fleet.now + SECOND)
     assert fleet.messages == 2
     assert fleet.gateways[0]._customers[CUSTOMER].ceiling == pytest.approx(4.0)
@@ -332,12 +332,12 @@
 def test_a_customer_whose_share_has_just_been_lent_is_not_evicted() -> None:
     fleet = Gateways(LENT, 1)
     fleet.run(START + 60 * SECOND)
-    fleet.request(1, **call())
+    fleet.request(1, **request_fields())
     fleet.run(START + 100 * SECOND)  # refilled, and long inactive
     data = encode(replace(ASKED, units=9.0))
     fleet.gateways[1].handle(fleet.now, PeerMessage(4, data))
     for customer in range(1_000, 1_100):
-        fleet.request(1, **call() | {"customer": customer})
+        fleet.request(1, **request_fields() | {"customer": customer})
     (message,) = fleet.gateways[1].handle(fleet.now, PeerMessage(4, data))
     assert isinstance(message, Tell)
     reply = decode(message.data)
@@ -352,7 +352,7 @@
         fleet.gateways[number].handle(fleet.now, PeerMessage(0, encode(replace(ASKED, units=0.6))))
     sent: list[Action] = []
     fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
-    fleet.request(0, **call(2.0))  # a share is 1, and no gateway has more than 0.4 left
+    fleet.request(0, **request_fields(2.0))  # a share is 1, and no gateway has more than 0.4 left
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
 
@@ -360,8 +360,8 @@
 def test_customers_with_a_ceiling_are_evicted_in_the_end() -> None:
     fleet = Gateways(LENT, 1)
     for customer in range(500):
-        fleet.request(0, **call() | {"customer": customer})
+        fleet.request(0, **request_fields() | {"customer": customer})
     fleet.run(START + 300 * SECOND)
     for customer in range(500, 800):
-        fleet.request(0, **call() | {"customer": customer})
+        fleet.request(0, **request_fields() | {"customer": customer})
     assert len(fleet.gateways[0]._customers) < 400
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,15 +15,15 @@
 import pytest
 
 from tests.process_logs import note
-from tests.test_drill import FACTS
+from tests.test_drill import SETTINGS_OBJECT
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
 NAMED = {
-    **FACTS,
-    "classes": [{**FACTS["classes"][0], "name": "lookup"}],
-    "packages": [{**FACTS["packages"][0], "name": "basic"}],
-    "limits": {**FACTS["limits"], "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
+    **SETTINGS_OBJECT,
+    "classes": [{**SETTINGS_OBJECT["classes"][0], "name": "lookup"}],
+    "packages": [{**SETTINGS_OBJECT["packages"][0], "name": "basic"}],
+    "limits": {**SETTINGS_OBJECT["limits"], "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
 }
 
 
