--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -9,7 +9,7 @@
 
 from lynxreel.config import model
 from lynxreel.config.read import ConfigError
-from lynxreel.fleet.views import problem
+from lynxreel.fleet.views import transition_problem
 from lynxreel.node import Deployment
 from lynxreel.protocol.address import Address, read_address
 from mothgap import interface as api
@@ -65,8 +65,8 @@
     settings = api.Settings(
         classes=classes,
         plans=plans,
-        fleet_size=seen.most,
-        index=file.gateway.number % seen.most,
+        fleet_size=seen.max_gateways,
+        index=file.gateway.number % seen.max_gateways,
         limits=api.Limits(
             max_attempts=limits.max_attempts,
             second_copies=limits.second_copies,
@@ -107,7 +107,7 @@
         counter.beat_ms * MS if counter and counter.guard else 0,
         _http(file, names, settings, before) if file.http is not None else None,
         max(1, file.gateway.workers),
-        seen.part(file.gateway.number),
+        seen.share(file.gateway.number),
         int(limits.held_mb * 1e6),
         links=_links(file),
         takeover=_takeover(file),
@@ -333,7 +333,7 @@
     """
     lines = [line for line in changes(old, new) if line.partition(": ")[0].startswith(FIXED)]
     problems = [f"{line}; mend: restart the instance for that, or take it back" for line in lines]
-    if not starting and (wrong := problem(old.view, new.view)):
+    if not starting and (wrong := transition_problem(old.view, new.view)):
         problems.append(f"fleet: {wrong}")
     return problems
 
--- a/lynxreel/config/http.py
+++ b/lynxreel/config/http.py
@@ -66,7 +66,7 @@
     serving = Serving(
         admission,
         Repeats(entry.repeat_keys, entry.repeat_ms / 1e3),
-        file.view.most,
+        file.view.max_gateways,
         _by_place(names.classes, len(settings.classes)),
         _by_place(names.plans, len(settings.plans)),
         tuple(policies),
--- a/lynxreel/fleet/views.py
+++ b/lynxreel/fleet/views.py
@@ -32,13 +32,13 @@
         return self.before > 0
 
     @property
-    def most(self) -> int:
+    def max_gateways(self) -> int:
         """The number of gateways that may be sent requests."""
         return max(self.gateways, self.before)
 
-    def part(self, number: int) -> float:
+    def share(self, number: int) -> float:
         """The fraction of an even share that gateway `number` holds; 0 where no front uses it."""
-        if number >= self.most:
+        if number >= self.max_gateways:
             return 0.0
         return 0.5 if self.joint else 1.0
 
@@ -46,7 +46,7 @@
         return f"{self.gateways}, before {self.before}" if self.joint else str(self.gateways)
 
 
-def problem(old: View, new: View) -> str:
+def transition_problem(old: View, new: View) -> str:
     """Why a gateway can't change from the old view to the new one; empty where it can."""
     if old == new:
         return ""
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from lynxreel.fleet.views import Step, View, advise, problem
+from lynxreel.fleet.views import Step, View, advise, transition_problem
 
 
 def test_shares_of_gateways() -> None:
-    assert [View(4).part(n) for n in (0, 3, 4)] == [1.0, 1.0, 0.0]
-    assert [View(8, 4).part(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
-    assert [View(3, 8).part(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
+    assert [View(4).share(n) for n in (0, 3, 4)] == [1.0, 1.0, 0.0]
+    assert [View(8, 4).share(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
+    assert [View(3, 8).share(n) for n in (0, 7, 8)] == [0.5, 0.5, 0.0]
 
 
 @pytest.mark.parametrize(
@@ -24,12 +24,12 @@
     ],
 )
 def test_refused_changes_come_with_a_remedy(old: View, new: View, message: str) -> None:
-    assert message in problem(old, new) and "mend: " in problem(old, new)
+    assert message in transition_problem(old, new) and "mend: " in transition_problem(old, new)
 
 
 def test_allowed_changes() -> None:
     for old, new in ((View(4), View(8, 4)), (View(8, 4), View(8)), (View(8, 4), View(4)), (View(4), View(4))):
-        assert problem(old, new) == ""
+        assert transition_problem(old, new) == ""
 
 
 def test_advice_waits_for_all_running_gateways() -> None:
@@ -58,12 +58,13 @@
         target = TARGETS[self.target]
         for number, view in enumerate(self.views):
             if view is None:
-                if number < target.most:
+                if number < target.max_gateways:
                     successors.append((f"{number} starts", self._with(number, target)))
                 continue
-            if number != unresponsive and view != target and not problem(view, target):
+            if number != unresponsive and view != target and not transition_problem(view, target):
                 successors.append((f"{number} takes {target}", self._with(number, target)))
-            if number >= target.most or number == unresponsive:  # an operator may end the unresponsive one
+            # An operator may end the unresponsive one.
+            if number >= target.max_gateways or number == unresponsive:
                 successors.append((f"{number} ends", self._with(number, None)))
         running = {str(n): view for n, view in enumerate(self.views) if view is not None}
         advice = advise(target, running)
@@ -96,7 +97,7 @@
                 share_sum = 0.0
                 for gateway, share in shares.items():
                     view = self.views[gateway]
-                    share_sum += view.part(gateway) * share if view is not None else 0.0
+                    share_sum += view.share(gateway) * share if view is not None else 0.0
                 maximum = max(maximum, share_sum)
         return maximum
 
