--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -151,7 +151,7 @@
     def _customer(self, asked: dict[str, Any]) -> dict[str, Any]:
         """What this instance believes of a customer and of its count."""
         guard, name = self.node.guard, int(asked["name"])
-        count = guard.believes(name) if guard is not None else {}
+        count = guard.describe(name) if guard is not None else {}
         return {"customer": self.node.engine.believes(int(asked["customer"])), "count": count}
 
     def _boxes(self, asked: dict[str, Any]) -> Any:
@@ -335,7 +335,7 @@
             "fleet": {"gateways": (seen := self._file.view).gateways, "before": seen.before},
         }
         if (guard := self.node.guard) is not None:
-            told["counter"] = guard.told()
+            told["counter"] = guard.status()
         if self.node.cover is not None:
             told["takeover"] = self.node.cover.told()
         if self.node.zones is not None:
--- a/lynxreel/metering/guarded.py
+++ b/lynxreel/metering/guarded.py
@@ -1,4 +1,4 @@
-"""Runs `Trust` between the engine and a counter client, with one timer."""
+"""Runs `CounterMonitor` between the engine and a counter client, with one timer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from lynxreel.log import log
-from lynxreel.metering.trust import Action, Call, Forward, StateChange, Trust
+from lynxreel.metering.trust import Action, Call, CounterMonitor, Forward, StateChange
 from mothgap.interface import Counted, CountedLate
 
 Post = Callable[[Counted | CountedLate], None]
@@ -20,11 +20,11 @@
         """Add to a name; exactly one Counted follows."""
 
 
-class Guarded:
+class MonitoredCounter:
     """A counter whose totals are monitored; the engine uses it like any other counter."""
 
     def __init__(
-        self, monitor: Trust, post: Post, now: Callable[[], int], loop: asyncio.AbstractEventLoop
+        self, monitor: CounterMonitor, post: Post, now: Callable[[], int], loop: asyncio.AbstractEventLoop
     ) -> None:
         self.counter: CounterClient
         self._monitor, self._post, self._now, self._loop = monitor, post, now, loop
@@ -32,7 +32,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0
 
-    def told(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """The counter's state for operators, by the keys of the status document."""
         monitor = self._monitor
         return {
@@ -41,9 +41,9 @@
             "given_back": round(monitor.restored, 3),
         }
 
-    def believes(self, name: int) -> dict[str, float]:
+    def describe(self, name: int) -> dict[str, float]:
         """What is known of a name, for operators; empty where it is not known."""
-        return self._monitor.believes(name)
+        return self._monitor.describe(name)
 
     def start(self) -> None:
         """Start sending beats; `counter` has to be set before."""
@@ -54,7 +54,7 @@
         self._monitor.on_call(self._now(), name, amount, lifetime)
         self.counter.add(name, amount, lifetime)
 
-    def heard(self, event: Counted | CountedLate) -> None:
+    def on_answer(self, event: Counted | CountedLate) -> None:
         """Take an answer of the counter, and post to the engine what the module is to get."""
         if isinstance(event, CountedLate):
             self._monitor.on_late_total(self._now(), event.name, event.amount)
--- a/lynxreel/metering/trust.py
+++ b/lynxreel/metering/trust.py
@@ -54,7 +54,7 @@
 SETTLE_DURATION = 2 * SECOND
 TOTAL_TOLERANCE = 0.5  # units by which totals may differ from what is known: only seven digits are exact
 MERGE_INTERVAL = 200_000  # microseconds; this gateway's increments within it are recorded as one batch
-MARKERS = 1 << 62  # the lowest marker name; all names of customers are below it
+MIN_MARKER_NAME = 1 << 62  # the lowest marker name; all names of customers are below it
 
 
 class State(Enum):
@@ -163,7 +163,7 @@
     unverified: list[int] = field(default_factory=list)  # the same for beats that no reading has verified yet
 
 
-class Trust:
+class CounterMonitor:
     """One gateway's view of one counter. Times are microseconds on the engine's clock."""
 
     def __init__(self, nonce: int, time_limit: int, beat_interval: int, max_drop: float, now: int) -> None:
@@ -194,7 +194,7 @@
         self._next_beat_at = now
         self._last_beat_at = now  # when the last beat was sent
 
-    def believes(self, name: int) -> dict[str, float]:
+    def describe(self, name: int) -> dict[str, float]:
         """What is known of a name, for operators; empty where this gateway does not know it."""
         record = self._records.get(name)
         if record is None:
@@ -214,7 +214,7 @@
 
     def _register(self, now: int, name: int, amount: float, lifetime: int, internal: bool) -> None:
         self._pending.setdefault(name, deque()).append(_PendingCall(amount, now, internal))
-        if name >= MARKERS or name in self._records:
+        if name >= MIN_MARKER_NAME or name in self._records:
             return
         self._records[name] = _NameRecord(now + min(MAX_NAME_LIFETIME, lifetime))
         # Each new name checks the two oldest ones, and removes those that have expired.
@@ -235,7 +235,7 @@
         if not pending:
             del self._pending[name]
         actions = self._update_health(now, call, result)
-        if name >= MARKERS:
+        if name >= MIN_MARKER_NAME:
             if result is Result.OK:
                 actions += self._on_marker_total(now, name, call, total)
             elif name in self._probes:
@@ -343,7 +343,7 @@
 
     def _new_marker(self, now: int, counter_bit: int) -> _Marker:
         self._markers += 1
-        return _Marker(MARKERS | self._nonce << 20 | self._markers & 0xFFFFF, now, counter_bit)
+        return _Marker(MIN_MARKER_NAME | self._nonce << 20 | self._markers & 0xFFFFF, now, counter_bit)
 
     def _suspect(self, now: int, why: str) -> list[Action]:
         """Read the marker now, and again until the cause is clear."""
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -35,7 +35,7 @@
     from lynxreel.links.mesh import Mesh
     from lynxreel.links.mesh import Plan as LinksPlan
     from lynxreel.membership.core import Publish
-    from lynxreel.metering.guarded import Guarded
+    from lynxreel.metering.guarded import MonitoredCounter
     from lynxreel.sources.etcd import EtcdList, EtcdSource
     from lynxreel.sources.files import FileList, WatchedFile
     from lynxreel.takeover.cover import Cover
@@ -118,7 +118,7 @@
         self.engine.backend = self.servers
         self.counter: Counter | RedisCounter | None = None
         self._counted_at: Address | Options | None = None
-        self.guard: Guarded | None = None
+        self.guard: MonitoredCounter | None = None
         self._count(deployment)
         self.mesh: Mesh | None = deployment.links.mesh(loop) if deployment.links is not None else None
         self.cover: Cover | None = None
@@ -231,7 +231,7 @@
         """Call another counter from now on."""
         if deployment.beat and self.guard is None:
             self.guard = self._guard(deployment, time_limit)
-        post = self.engine.post if self.guard is None else self.guard.heard
+        post = self.engine.post if self.guard is None else self.guard.on_answer
         before = self.counter
         if before is not None:
             before.close()
@@ -254,15 +254,15 @@
         """The clock that all gateways share, the counter's own or the fleet's, is so far ahead."""
         self.engine.post(ClockShift(offset))
 
-    def _guard(self, deployment: Deployment, time_limit: int) -> Guarded:
+    def _guard(self, deployment: Deployment, time_limit: int) -> MonitoredCounter:
         # Imported here: the platform's program has no guard, and does not pay for one.
-        from lynxreel.metering.guarded import Guarded
-        from lynxreel.metering.trust import Trust
+        from lynxreel.metering.guarded import MonitoredCounter
+        from lynxreel.metering.trust import CounterMonitor
 
         clock, settings = self.engine.clock, deployment.settings
         fall = FALL * settings.units_top
-        trust = Trust(secrets.randbits(36), time_limit, deployment.beat, fall, clock.now())
-        return Guarded(trust, self.engine.post, clock.now, self._loop)
+        trust = CounterMonitor(secrets.randbits(36), time_limit, deployment.beat, fall, clock.now())
+        return MonitoredCounter(trust, self.engine.post, clock.now, self._loop)
 
     async def start(self, patience: float | None = FIRST_NEWS) -> None:
         """Wait so many seconds, or for good, for news of the servers; then take clients.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 from lynxreel.cli.main import main
 from lynxreel.local.deployment import Deployment
-from lynxreel.metering.trust import MARKERS
+from lynxreel.metering.trust import MIN_MARKER_NAME
 from lynxreel.standins.faults import Fault, Kind
 from tests.fleet import BROKEN, Caller, fleet, run
 
@@ -23,7 +23,7 @@
     """Units that the counter holds for each customer, over all windows: names are customer and window."""
     sums: dict[int, float] = {}
     for name, amount in deployment.counter.added.items():
-        if int(name, 16) >= MARKERS:
+        if int(name, 16) >= MIN_MARKER_NAME:
             continue  # a beat of a gateway's own
         customer = int(name, 16) >> 24
         sums[customer] = sums.get(customer, 0.0) + amount
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lynxreel.metering.trust import MARKERS, Call, Forward, State, StateChange, Trust
+from lynxreel.metering.trust import MIN_MARKER_NAME, Call, CounterMonitor, Forward, State, StateChange
 from mothgap.interface import Result
 
 MS, SECOND = 1_000, 1_000_000
@@ -36,7 +36,7 @@
     def __init__(self, count: int = 1) -> None:
         self.now = 100 * SECOND
         self.counters = [Counter() for _ in range(count)]
-        self.trusts = [Trust(7 + number, 50 * MS, BEAT, 8.0, self.now) for number in range(count)]
+        self.trusts = [CounterMonitor(7 + number, 50 * MS, BEAT, 8.0, self.now) for number in range(count)]
         self.lag = 0  # microseconds by which totals lag
         self.wrong_total: float | None = None  # returned in place of the next total
         self.down = False
@@ -57,7 +57,7 @@
     def _answer(self, gateway: int, call: Call) -> None:
         if self.down:
             result, total = Result.CONNECT_FAILED, 0.0
-        elif self.unanswered_reads and not call.amount and call.name < MARKERS:
+        elif self.unanswered_reads and not call.amount and call.name < MIN_MARKER_NAME:
             result, total, self.unanswered_reads = Result.TIMEOUT, 0.0, self.unanswered_reads - 1
         else:
             counter = self.counters[gateway]
@@ -199,7 +199,7 @@
     for units in (2.0, 3.0):
         fleet.counters = [Counter(), first]
         fleet.wait(2 * SECOND)
-        assert fleet.counters[0].totals[NAME] == fleet.trusts[0].believes(NAME)["own"]
+        assert fleet.counters[0].totals[NAME] == fleet.trusts[0].describe(NAME)["own"]
         fleet.add(0, units)
         fleet.wait(2 * SECOND)
         fleet.counters = [first, first]
@@ -292,7 +292,7 @@
 def test_every_gateway_restores_its_own_increments_of_an_evicted_name() -> None:
     fleet = Fleet(2)
     counter = fleet.one_counter()
-    fleet.trusts = [Trust(7 + number, 50 * MS, 50 * MS, 8.0, fleet.now) for number in range(2)]
+    fleet.trusts = [CounterMonitor(7 + number, 50 * MS, 50 * MS, 8.0, fleet.now) for number in range(2)]
     fleet.wait(3 * SECOND)
     fleet.add(0, 6.0)
     fleet.add(1, 5.0)
@@ -380,14 +380,14 @@
     for number in range(600):
         fleet.add(0, 1.0, 1_000 + number, 2 * SECOND)
         fleet.wait(100 * MS)
-    markers = [name for name in fleet.counters[0].totals if name >= MARKERS]
+    markers = [name for name in fleet.counters[0].totals if name >= MIN_MARKER_NAME]
     assert len(markers) == 3
     assert len(fleet.trusts[0]._records) < 60
     assert fleet.states[0] == []
 
 
 def test_slow_answers_are_reported_as_a_state_and_not_as_a_loss() -> None:
-    trust = Trust(1, 50 * MS, BEAT, 8.0, 0)
+    trust = CounterMonitor(1, 50 * MS, BEAT, 8.0, 0)
     now, states = 0, list[State]()
     for step in range(80):
         trust.on_call(now, NAME, 1.0, 60 * SECOND)
