--- a/bench/shared_clock.py
+++ b/bench/shared_clock.py
@@ -11,7 +11,15 @@
 from statistics import median
 
 from mothgap.interface import Tell
-from mothgap.shared_clock import AGREE, AskClock, ClockSurvey, Rounds, TellClock, read, write
+from mothgap.shared_clock import (
+    CLOCK_TOLERANCE,
+    ClockQuery,
+    ClockReply,
+    ClockSurvey,
+    SurveySchedule,
+    decode,
+    encode,
+)
 
 SECOND = 1_000_000  # microseconds, as all times here
 HOUR = 3_600 * SECOND
@@ -30,7 +38,7 @@
     number: int
     began: int
     wrong: int  # by which its clock is ahead of the true one
-    rounds: Rounds
+    rounds: SurveySchedule
     survey: ClockSurvey | None = None
     starting: bool = True
 
@@ -63,25 +71,25 @@
 
     def start(self, number: int, wrong: int) -> None:
         """A gateway begins; one of its number that was there has ended."""
-        node = _Node(number, self.now, wrong, Rounds(self.chance))
+        node = _Node(number, self.now, wrong, SurveySchedule(self.chance))
         self.nodes[number] = node
         self._ask(node)
 
     def _ask(self, node: _Node) -> None:
         node.survey = ClockSurvey(node.number, self.size, self.chance)
-        self._send_all(node, node.survey.ask(self.now + node.wrong))
+        self._send_all(node, node.survey.queries(self.now + node.wrong))
         survey = node.survey
-        self.later(AGAIN, lambda: self._send_all(node, survey.ask(self.now + node.wrong)))
+        self.later(AGAIN, lambda: self._send_all(node, survey.queries(self.now + node.wrong)))
         self.later(PATIENCE, lambda: self._over(node, survey))
 
     def _over(self, node: _Node, survey: ClockSurvey) -> None:
         age = self.now - node.began
-        ahead = survey.ahead(age) if node.starting else node.rounds.over(survey, age)
+        ahead = survey.offset(age) if node.starting else node.rounds.on_survey_end(survey, age)
         node.starting, node.survey = False, None
         if ahead:
             node.wrong += ahead
             self.moved_at = self.now
-        if (wait := node.rounds.wait()) is not None:
+        if (wait := node.rounds.next_delay()) is not None:
             self.later(int(wait * SECOND), lambda: self._ask(node))
 
     def _send_all(self, node: _Node, told: list[Tell]) -> None:
@@ -97,19 +105,19 @@
             self.later(self.chance.randint(*WAYS), lambda: self._hear(sender, to, data))
 
     def _hear(self, sender: int, to: int, data: bytes) -> None:
-        node, message = self.nodes.get(to), read(data)
+        node, message = self.nodes.get(to), decode(data)
         if node is None:
             return
-        if isinstance(message, AskClock):
-            answer = TellClock(message.number, HOUR * 10 + self.now + node.wrong, self.now - node.began)
-            self._send(to, sender, write(answer))
-        elif isinstance(message, TellClock) and node.survey is not None:
-            told = TellClock(message.number, message.clock - HOUR * 10, message.age)
-            node.survey.heard(sender, told, self.now + node.wrong)
+        if isinstance(message, ClockQuery):
+            answer = ClockReply(message.query_id, HOUR * 10 + self.now + node.wrong, self.now - node.began)
+            self._send(to, sender, encode(answer))
+        elif isinstance(message, ClockReply) and node.survey is not None:
+            told = ClockReply(message.query_id, message.clock - HOUR * 10, message.uptime)
+            node.survey.on_reply(sender, told, self.now + node.wrong)
 
     def apart(self) -> int:
         """Gateways that do not go by the clock that most do."""
-        clocks = Counter(round(node.wrong / (2 * AGREE)) for node in self.nodes.values())
+        clocks = Counter(round(node.wrong / (2 * CLOCK_TOLERANCE)) for node in self.nodes.values())
         return len(self.nodes) - max(clocks.values())
 
 
--- a/lynxreel/__main__.py
+++ b/lynxreel/__main__.py
@@ -122,8 +122,8 @@
         await peers.open(plan.listen, plan.beside)
         index, chance = self._deployment.settings.index, random.Random(self._seed)
         clock = FleetClock(peers, index, len(plan.addresses), chance)
-        peers.post = clock.take
-        await clock.begin()
+        peers.post = clock.on_message
+        await clock.synchronize()
         return clock
 
     async def _start(self) -> None:
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -157,7 +157,7 @@
 
     def _peer_said(self, message: PeerMessage) -> None:
         """What another gateway says."""
-        if self._fleet_clock is None or not self._fleet_clock.take(message):
+        if self._fleet_clock is None or not self._fleet_clock.on_message(message):
             self.engine.post(message)
 
     @staticmethod
--- a/lynxreel/peers/clock.py
+++ b/lynxreel/peers/clock.py
@@ -12,7 +12,7 @@
 from lynxreel.log import log
 from lynxreel.peers.datagrams import Peers
 from mothgap.interface import PeerMessage
-from mothgap.shared_clock import AskClock, ClockSurvey, Rounds, TellClock, read, write
+from mothgap.shared_clock import ClockQuery, ClockReply, ClockSurvey, SurveySchedule, decode, encode
 
 SURVEY_TIMEOUT = 0.1  # seconds that a survey waits for replies
 RETRY_DELAY = 0.05  # seconds after which gateways that have not replied are queried once more
@@ -41,22 +41,22 @@
         """The fleet's time in microseconds, as far as this gateway knows it."""
         return self.clock.now() + self._shift
 
-    def take(self, message: PeerMessage) -> bool:
+    def on_message(self, message: PeerMessage) -> bool:
         """Handle a message about the clock, and answer a query at once; False for any other message."""
-        received = read(message.data)
-        if isinstance(received, AskClock):
-            answer = TellClock(received.number, self.now(), process_uptime())
-            self.peers.tell(message.sender, write(answer))
-        elif isinstance(received, TellClock) and self._survey is not None:
-            self._survey.heard(message.sender, received, self.now())
-            if self._survey.settled:
+        received = decode(message.data)
+        if isinstance(received, ClockQuery):
+            answer = ClockReply(received.query_id, self.now(), process_uptime())
+            self.peers.tell(message.sender, encode(answer))
+        elif isinstance(received, ClockReply) and self._survey is not None:
+            self._survey.on_reply(message.sender, received, self.now())
+            if self._survey.has_quorum:
                 self._quorum_reached.set()
         return received is not None
 
-    async def begin(self) -> None:
+    async def synchronize(self) -> None:
         """Set `clock` by the gateways that reply in time; to be called before anything else uses it."""
         survey = await self._ask()
-        ahead = survey.ahead(process_uptime())
+        ahead = survey.offset(process_uptime())
         if ahead:
             self._log_shift(ahead)
             self.clock = Clock(self.clock.base + ahead * 1_000)
@@ -75,10 +75,10 @@
             self._task.cancel()
 
     async def _follow(self, on_shift: Callable[[int], None]) -> None:
-        rounds = Rounds(self._rng)
-        while (delay := rounds.wait()) is not None:
+        schedule = SurveySchedule(self._rng)
+        while (delay := schedule.next_delay()) is not None:
             await asyncio.sleep(delay)
-            if ahead := rounds.over(await self._ask(), process_uptime()):
+            if ahead := schedule.on_survey_end(await self._ask(), process_uptime()):
                 self._log_shift(ahead)
                 self._shift += ahead
                 on_shift(self._shift)
@@ -88,9 +88,9 @@
         self._survey = survey = ClockSurvey(self._index, self._fleet, self._rng)
         self._quorum_reached.clear()
         for delay in (RETRY_DELAY, SURVEY_TIMEOUT - RETRY_DELAY):
-            if survey.settled:
+            if survey.has_quorum:
                 break
-            for query in survey.ask(self.now()):
+            for query in survey.queries(self.now()):
                 self.peers.tell(query.to, query.data)
             with suppress(TimeoutError):
                 async with asyncio.timeout(delay):
--- a/mothgap/shared_clock.py
+++ b/mothgap/shared_clock.py
@@ -21,7 +21,7 @@
 
 QUERY_CODE, REPLY_CODE = 3, 4
 MAX_QUERIED = 8  # gateways that are queried, however large the fleet is
-AGREE = 500_000  # microseconds; clocks that differ by less count as the same
+CLOCK_TOLERANCE = 500_000  # microseconds; clocks that differ by less count as the same
 FIRST_DELAY = 1.0  # seconds; mean delay from the start to the next survey, doubled after each...
 MAX_DELAY = 10.0  # ...up to this many seconds
 CONFIRMING_SURVEYS = 4  # consecutive surveys with a quorum and no difference, after which no more are made
@@ -29,43 +29,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskClock:
+class ClockQuery:
     """A query for the receiver's time."""
 
-    number: int  # random; the reply repeats it
+    query_id: int  # random; the reply repeats it
 
 
 @dataclass(frozen=True, slots=True)
-class TellClock:
+class ClockReply:
     """A gateway's clock at the time of its reply. Times are microseconds."""
 
-    number: int
+    query_id: int
     clock: int
-    age: int  # the replying gateway's uptime
+    uptime: int  # of the replying gateway
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
     """One gateway's clock relative to this gateway's own, and its uptime, in microseconds."""
 
-    ahead: int
-    age: int
+    offset: int
+    uptime: int
 
 
-def read(data: bytes) -> AskClock | TellClock | None:
+def decode(data: bytes) -> ClockQuery | ClockReply | None:
     """Decode a message; None where it is truncated, of another version, or of another kind."""
     if len(data) == _QUERY_FORMAT.size and data[0] == VERSION and data[1] == QUERY_CODE:
-        return AskClock(_QUERY_FORMAT.unpack(data)[2])
+        return ClockQuery(_QUERY_FORMAT.unpack(data)[2])
     if len(data) == _REPLY_FORMAT.size and data[0] == VERSION and data[1] == REPLY_CODE:
-        return TellClock(*_REPLY_FORMAT.unpack(data)[2:])
+        return ClockReply(*_REPLY_FORMAT.unpack(data)[2:])
     return None
 
 
-def write(message: AskClock | TellClock) -> bytes:
+def encode(message: ClockQuery | ClockReply) -> bytes:
     """Encode a message in at most 26 bytes."""
-    if isinstance(message, AskClock):
-        return _QUERY_FORMAT.pack(VERSION, QUERY_CODE, message.number)
-    return _REPLY_FORMAT.pack(VERSION, REPLY_CODE, message.number, message.clock, message.age)
+    if isinstance(message, ClockQuery):
+        return _QUERY_FORMAT.pack(VERSION, QUERY_CODE, message.query_id)
+    return _REPLY_FORMAT.pack(VERSION, REPLY_CODE, message.query_id, message.clock, message.uptime)
 
 
 def consensus_offset(readings: Sequence[Reading]) -> int:
@@ -74,11 +74,11 @@
     With an even number of readings whose middle two disagree, the clock of the gateway with the longest
     uptime is used: all gateways choose the same one that way.
     """
-    ordered = sorted(readings, key=lambda reading: reading.ahead)
-    low, high = ordered[(len(ordered) - 1) // 2].ahead, ordered[len(ordered) // 2].ahead
-    if high - low < AGREE:
+    ordered = sorted(readings, key=lambda reading: reading.offset)
+    low, high = ordered[(len(ordered) - 1) // 2].offset, ordered[len(ordered) // 2].offset
+    if high - low < CLOCK_TOLERANCE:
         return low
-    return max(readings, key=lambda reading: reading.age).ahead
+    return max(readings, key=lambda reading: reading.uptime).offset
 
 
 class ClockSurvey:
@@ -92,40 +92,40 @@
         self._pending: dict[int, tuple[int, int]] = {}  # by query id: the gateway, and the time of sending
         self._readings: dict[int, Reading] = {}  # by gateway number
 
-    def ask(self, now: int) -> list[Tell]:
+    def queries(self, now: int) -> list[Tell]:
         """Queries to all gateways that have not replied yet. `now`: by this gateway's own clock."""
         return [self._query(number, now) for number in self.queried if number not in self._readings]
 
     def _query(self, to: int, now: int) -> Tell:
-        number = self._rng.getrandbits(64)
-        self._pending[number] = to, now
-        return Tell(to, write(AskClock(number)))
+        query_id = self._rng.getrandbits(64)
+        self._pending[query_id] = to, now
+        return Tell(to, encode(ClockQuery(query_id)))
 
-    def heard(self, sender: int, reply: TellClock, now: int) -> None:
+    def on_reply(self, sender: int, reply: ClockReply, now: int) -> None:
         """Take a reply. One that was not requested, or is from another gateway, is ignored.
 
         So is one whose round trip took as long as clocks may differ: it is unknown when in between the
         remote clock was read.
         """
-        to, sent_at = self._pending.get(reply.number, (None, 0))
-        if to == sender and now - sent_at < AGREE:
-            self._readings[sender] = Reading(reply.clock - (sent_at + now) // 2, reply.age)
+        to, sent_at = self._pending.get(reply.query_id, (None, 0))
+        if to == sender and now - sent_at < CLOCK_TOLERANCE:
+            self._readings[sender] = Reading(reply.clock - (sent_at + now) // 2, reply.uptime)
 
     @property
-    def settled(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether more than half of the queried gateways have replied: more would change little."""
         return 2 * len(self._readings) > len(self.queried) or not self.queried
 
-    def ahead(self, age: int) -> int:
+    def offset(self, uptime: int) -> int:
         """How far the fleet's clock is ahead of this gateway's own; 0 where they agree or nobody has replied.
 
-        `age`: this gateway's uptime.
+        `uptime`: this gateway's own.
         """
-        ahead = consensus_offset([Reading(0, age), *self._readings.values()])
-        return ahead if abs(ahead) >= AGREE else 0
+        offset = consensus_offset([Reading(0, uptime), *self._readings.values()])
+        return offset if abs(offset) >= CLOCK_TOLERANCE else 0
 
 
-class Rounds:
+class SurveySchedule:
     """Schedules the surveys after the first: they correct a gateway that started first or was cut off."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -133,18 +133,18 @@
         self._delay = FIRST_DELAY
         self._confirmed = 0
 
-    def wait(self) -> float | None:
+    def next_delay(self) -> float | None:
         """Randomized delay until the next survey in seconds; None where no more are needed."""
         if self._confirmed >= CONFIRMING_SURVEYS:
             return None
         delay, self._delay = self._delay, min(2 * self._delay, MAX_DELAY)
         return delay * self._rng.uniform(0.5, 1.5)
 
-    def over(self, survey: ClockSurvey, age: int) -> int:
+    def on_survey_end(self, survey: ClockSurvey, uptime: int) -> int:
         """Evaluate a survey: by how many microseconds to advance this gateway's clock; 0 to keep it.
 
-        `age`: this gateway's uptime. A clock in service is changed only where a majority has replied.
+        `uptime`: this gateway's own. A clock in service is changed only where a majority has replied.
         """
-        ahead = survey.ahead(age) if survey.settled else 0
-        self._confirmed = self._confirmed + 1 if survey.settled and not ahead else 0
-        return ahead
+        offset = survey.offset(uptime) if survey.has_quorum else 0
+        self._confirmed = self._confirmed + 1 if survey.has_quorum and not offset else 0
+        return offset
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -40,7 +40,7 @@
 from mothgap.names import window
 from mothgap.rules import Gateway
 from mothgap.settings import Names
-from mothgap.shared_clock import AskClock, ClockSurvey, TellClock, read
+from mothgap.shared_clock import ClockQuery, ClockReply, ClockSurvey, decode
 from tests.fleet import Caller, run
 
 SECOND = 1_000_000
@@ -88,11 +88,11 @@
     """
     start, step = 1_000 * SECOND, 3_600 * SECOND + 17 * SECOND
     survey = ClockSurvey(1, 2, random.Random(1))
-    for question in survey.ask(start + step):
-        asked = read(question.data)
-        assert isinstance(asked, AskClock) and question.to == 0
-        survey.heard(0, TellClock(asked.number, start, 60 * SECOND), start + step)
-    gateways, totals = [(decider(1), 0), (decider(2), step + survey.ahead(0))], dict[int, float]()
+    for question in survey.queries(start + step):
+        asked = decode(question.data)
+        assert isinstance(asked, ClockQuery) and question.to == 0
+        survey.on_reply(0, ClockReply(asked.query_id, start, 60 * SECOND), start + step)
+    gateways, totals = [(decider(1), 0), (decider(2), step + survey.offset(0))], dict[int, float]()
     sent = 0
     for number in range(1, 161):
         gateway, ahead = gateways[number % 2]
--- a/tests/test_shared_clock.py
+++ b/tests/test_shared_clock.py
@@ -15,15 +15,15 @@
 from mothgap import lending, shared_clock
 from mothgap.interface import PeerMessage
 from mothgap.shared_clock import (
-    AGREE,
+    CLOCK_TOLERANCE,
     MAX_QUERIED,
-    AskClock,
+    ClockQuery,
+    ClockReply,
     ClockSurvey,
     Reading,
-    TellClock,
     consensus_offset,
-    read,
-    write,
+    decode,
+    encode,
 )
 from tests.fleet import run
 from tests.platform_fleet import BURST, RATE, platform_fleet
@@ -86,13 +86,13 @@
 
 
 def test_messages_are_decoded_as_encoded_and_not_taken_for_those_of_lending() -> None:
-    for message in (AskClock(2**64 - 1), TellClock(7, 1_796_000_000_000_000, 12)):
-        data = write(message)
-        assert read(data) == message
+    for message in (ClockQuery(2**64 - 1), ClockReply(7, 1_796_000_000_000_000, 12)):
+        data = encode(message)
+        assert decode(data) == message
         assert lending.decode(data) is None
-        assert read(data[:-1]) is None and read(data + b"\0") is None
-        assert read(bytes([lending.VERSION + 1]) + data[1:]) is None
-    assert read(lending.encode(lending.LoanReply(1, 2, 3.0))) is None
+        assert decode(data[:-1]) is None and decode(data + b"\0") is None
+        assert decode(bytes([lending.VERSION + 1]) + data[1:]) is None
+    assert decode(lending.encode(lending.LoanReply(1, 2, 3.0))) is None
 
 
 @pytest.mark.parametrize(
@@ -114,10 +114,10 @@
     assert consensus_offset([Reading(0, 5), *others]) == expected
 
 
-def reply_to(data: bytes, clock: int, age: int = 10**9) -> TellClock:
-    query = read(data)
-    assert isinstance(query, AskClock)
-    return TellClock(query.number, clock, age)
+def reply_to(data: bytes, clock: int, uptime: int = 10**9) -> ClockReply:
+    query = decode(data)
+    assert isinstance(query, ClockQuery)
+    return ClockReply(query.query_id, clock, uptime)
 
 
 def survey(fleet: int = 3) -> ClockSurvey:
@@ -126,43 +126,44 @@
 
 def test_a_few_gateways_are_queried_and_again_only_those_that_have_not_replied() -> None:
     large = survey(230)
-    first = large.ask(0)
+    first = large.queries(0)
     targets = [query.to for query in first]
     assert len(set(targets)) == len(targets) == MAX_QUERIED and 0 not in targets
     for query in first[:4]:
         assert query.to is not None
-        large.heard(query.to, reply_to(query.data, HOUR), 2_000)
-    assert not large.settled
-    again = large.ask(50_000)
+        large.on_reply(query.to, reply_to(query.data, HOUR), 2_000)
+    assert not large.has_quorum
+    again = large.queries(50_000)
     assert [query.to for query in again] == targets[4:]
     query = again[0]
     assert query.to is not None
-    large.heard(query.to, reply_to(query.data, HOUR + 51_000), 52_000)
-    assert large.settled
-    assert abs(large.ahead(0) - HOUR) < 3_000
+    large.on_reply(query.to, reply_to(query.data, HOUR + 51_000), 52_000)
+    assert large.has_quorum
+    assert abs(large.offset(0) - HOUR) < 3_000
 
 
 def test_unrequested_misdirected_and_late_replies_are_ignored() -> None:
     small = survey()
-    one, other = small.ask(0)
+    one, other = small.queries(0)
     assert one.to is not None and other.to is not None
-    small.heard(other.to, reply_to(one.data, HOUR), 1_000)
-    small.heard(one.to, TellClock(3, HOUR, 10**9), 1_000)
-    small.heard(one.to, reply_to(one.data, HOUR), AGREE)  # this gateway, or the reply, was delayed
-    assert small.ahead(0) == 0 and not small.settled
+    small.on_reply(other.to, reply_to(one.data, HOUR), 1_000)
+    small.on_reply(one.to, ClockReply(3, HOUR, 10**9), 1_000)
+    # This gateway, or the reply, was delayed.
+    small.on_reply(one.to, reply_to(one.data, HOUR), CLOCK_TOLERANCE)
+    assert small.offset(0) == 0 and not small.has_quorum
 
 
 def test_clocks_that_differ_by_less_than_the_tolerance_are_kept() -> None:
     small = survey()
-    for query in small.ask(0):
+    for query in small.queries(0):
         assert query.to is not None
-        small.heard(query.to, reply_to(query.data, AGREE - 1), 0)
-    assert small.settled and small.ahead(0) == 0
+        small.on_reply(query.to, reply_to(query.data, CLOCK_TOLERANCE - 1), 0)
+    assert small.has_quorum and small.offset(0) == 0
 
 
 def test_a_single_gateway_queries_nobody() -> None:
     alone = ClockSurvey(0, 1, random.Random(1))
-    assert alone.settled and alone.ask(0) == [] and alone.ahead(0) == 0
+    assert alone.has_quorum and alone.queries(0) == [] and alone.offset(0) == 0
 
 
 class OtherGateways:
@@ -180,14 +181,14 @@
 
     def _answer(self, endpoint: Peers, message: PeerMessage) -> None:
         self.queries += 1
-        endpoint.tell(0, write(reply_to(message.data, Clock().now() + HOUR)))
+        endpoint.tell(0, encode(reply_to(message.data, Clock().now() + HOUR)))
 
 
 async def start_clock(addresses: tuple[Address, ...]) -> FleetClock:
     peers = Peers(addresses, 0, lambda message: None, asyncio.get_running_loop())
     await peers.open(addresses[0])
     clock = FleetClock(peers, 0, len(addresses), random.Random(1))
-    peers.post = clock.take
+    peers.post = clock.on_message
     return clock
 
 
@@ -198,15 +199,15 @@
         monkeypatch.setattr(shared_clock, "FIRST_DELAY", 0.05)
         loop, addresses = asyncio.get_running_loop(), (*free(), *free())[:3]
         clock, others = await start_clock(addresses), OtherGateways(addresses, loop)
-        await clock.begin()
-        assert abs(clock.clock.now() - Clock().now()) < AGREE
+        await clock.synchronize()
+        assert abs(clock.clock.now() - Clock().now()) < CLOCK_TOLERANCE
         shifts: list[int] = []
         clock.follow(shifts.append)
         await others.start()
         assert clock._task is not None
         await clock._task
-        assert len(shifts) == 1 and abs(shifts[0] - HOUR) < AGREE
-        assert abs(clock.now() - Clock().now() - HOUR) < AGREE
+        assert len(shifts) == 1 and abs(shifts[0] - HOUR) < CLOCK_TOLERANCE
+        assert abs(clock.now() - Clock().now() - HOUR) < CLOCK_TOLERANCE
         assert others.queries >= 4  # two further surveys confirmed it
         for endpoint in (clock.peers, *others.endpoints):
             endpoint.close()
@@ -219,14 +220,14 @@
         loop, addresses = asyncio.get_running_loop(), (*free(), *free())[:3]
         clock, others = await start_clock(addresses), OtherGateways(addresses, loop)
         await others.start()
-        await clock.begin()
-        assert abs(clock.clock.now() - Clock().now() - HOUR) < AGREE
+        await clock.synchronize()
+        assert abs(clock.clock.now() - Clock().now() - HOUR) < CLOCK_TOLERANCE
         received: asyncio.Queue[PeerMessage] = asyncio.Queue()
         others.endpoints[0].post = received.put_nowait
-        others.endpoints[0].tell(0, write(AskClock(77)))
-        reply = read((await received.get()).data)
-        assert isinstance(reply, TellClock) and reply.number == 77
-        assert abs(reply.clock - Clock().now() - HOUR) < AGREE
+        others.endpoints[0].tell(0, encode(ClockQuery(77)))
+        reply = decode((await received.get()).data)
+        assert isinstance(reply, ClockReply) and reply.query_id == 77
+        assert abs(reply.clock - Clock().now() - HOUR) < CLOCK_TOLERANCE
         for endpoint in (clock.peers, *others.endpoints):
             endpoint.close()
 
