--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -94,7 +94,7 @@
         plans={p.name: plan_places[p.name] for p in file.plans},
         kinds={name: number for number, name in enumerate(boxes.kinds)},
         zones={name: number for number, name in enumerate(boxes.zones)},
-        idle=boxes.idle_close_ms * MS,
+        idle_timeout=boxes.idle_close_ms * MS,
     )
     return Deployment(
         settings,
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -114,7 +114,7 @@
         settings, names = deployment.settings, deployment.names
         wire = self._wire(deployment)
         budget = Budget(deployment.held)
-        self.servers = Servers(self.engine, settings, names.idle, servers, loop, wire, budget)
+        self.servers = Servers(self.engine, settings, names.idle_timeout, servers, loop, wire, budget)
         self.engine.backend = self.servers
         self.counter: Counter | RedisCounter | None = None
         self._counted_at: Address | Options | None = None
@@ -363,7 +363,7 @@
                     self.engine.share(0.0)  # customers come to other gateways: what was saved up goes, too
                 self.engine.share(deployment.part)
             self.engine.adopt(settings)
-            self.servers.adopt(settings, names.idle, servers)
+            self.servers.adopt(settings, names.idle_timeout, servers)
             if self.cover is not None:
                 self.cover.adopt(settings, deployment.places)
             self.clients.adopt(self._terms(deployment), clients)
--- a/mothgap/settings.py
+++ b/mothgap/settings.py
@@ -98,7 +98,7 @@
     plans: dict[str, int]
     kinds: dict[str, int]
     zones: dict[str, int]
-    idle: int  # microseconds after which a server closes an idle connection at the latest
+    idle_timeout: int  # microseconds after which a server closes an idle connection at the latest
 
 
 def read_names(document: Any) -> Names:
@@ -112,7 +112,7 @@
             plans={plan["name"]: index for index, plan in enumerate(document["packages"])},
             kinds={name: index for index, name in enumerate(document.get("kinds", ()))},
             zones={name: index for index, name in enumerate(document.get("areas", ()))},
-            idle=int(document["limits"]["connIdleUs"]),
+            idle_timeout=int(document["limits"]["connIdleUs"]),
         )
     except KeyError as error:
         raise api.SettingsError(f"settings: missing key: {error.args[0]}") from None
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,7 +14,7 @@
 from mothgap.settings import Names
 
 LOCAL = "127.0.0.1"
-NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
+NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle_timeout=15_000_000)
 TERMS = Terms({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, most_units=4.0, gateways=3)
 CUSTOMER = b"00000000000000ab"
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -54,7 +54,7 @@
     safety=Safety(drain_grace=500_000),
     counter=Counter(time_limit=500_000),
 )
-NAMES = Names({"lookup": 0}, {"basic": 0}, {}, {}, idle=15 * SECOND)
+NAMES = Names({"lookup": 0}, {"basic": 0}, {}, {}, idle_timeout=15 * SECOND)
 
 
 def decider(seed: int) -> Gateway:
