--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -46,7 +46,7 @@
 
 def run_traffic(fleet: Gateways, seconds: float, rate: float, skew: float, restarts: float = 0.0) -> Ledger:
     """Run requests of one customer, spread unevenly, and check their answers; returns its ledger."""
-    plan, rng = fleet.settings.plans[0], fleet.chance
+    plan, rng = fleet.settings.plans[0], fleet.rng
     ledger = Ledger(plan.ceiling_rate, plan.ceiling_burst, START)
     answered: list[int] = []
     units: dict[int, float] = {}
@@ -57,7 +57,7 @@
         if isinstance(action, Send | Refuse):
             answered.append(action.request)
 
-    fleet.on = record
+    fleet.on_action = record
     number = 0
     while fleet.now < START + seconds * SECOND:
         fleet.run(fleet.now + int(rng.expovariate(rate) * SECOND) + 1)
@@ -77,26 +77,30 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("max_delay", [REPLY_TIMEOUT // 2, 3 * REPLY_TIMEOUT])
 def test_the_ceiling_holds_while_messages_are_delayed_lost_and_duplicated(max_delay: int, seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, max_delay), lost=0.1, twice=0.3)
+    fleet = Gateways(LENT, seed, network_delay=(1 * MS, max_delay), loss_rate=0.1, duplicate_rate=0.3)
     ledger = run_traffic(fleet, 20, 60.0, 2.0)
     assert fleet.messages > (1_000 if max_delay < REPLY_TIMEOUT else 200)
-    assert ledger.lowest >= -PLAN.ceiling_slack
+    assert ledger.min_level >= -PLAN.ceiling_slack
     unlent = run_traffic(Gateways(replace(LENT, limits=SETTINGS.limits), seed), 20, 60.0, 2.0)
-    assert ledger.taken > 0.7 * unlent.taken  # late replies are lost, so few requests may be sent in vain
+    assert (
+        ledger.total_units > 0.7 * unlent.total_units
+    )  # late replies are lost, so few requests may be sent in vain
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_ceiling_holds_while_gateways_crash_and_restart(seed: int) -> None:
-    fleet = Gateways(LENT, seed, way=(1 * MS, 2 * REPLY_TIMEOUT), lost=0.05, twice=0.2)
+    fleet = Gateways(
+        LENT, seed, network_delay=(1 * MS, 2 * REPLY_TIMEOUT), loss_rate=0.05, duplicate_rate=0.2
+    )
     ledger = run_traffic(fleet, 20, 60.0, 2.0, restarts=2.0)
-    assert ledger.lowest >= -PLAN.ceiling_slack
+    assert ledger.min_level >= -PLAN.ceiling_slack
 
 
 def test_uneven_traffic_below_the_ceiling_passes_with_lending() -> None:
     def units_per_second(peers: bool) -> float:
         limits = replace(LENT.limits, peers=peers)
-        ledger = run_traffic(Gateways(replace(LENT, limits=limits), 3, lost=0.05), 30, 10.0, 3.0)
-        return ledger.taken / 30
+        ledger = run_traffic(Gateways(replace(LENT, limits=limits), 3, loss_rate=0.05), 30, 10.0, 3.0)
+        return ledger.total_units / 30
 
     separate, lending = units_per_second(False), units_per_second(True)
     assert separate < 11.0  # of some 15 units per second, where 20 are allowed
@@ -108,8 +112,8 @@
     no_slack = replace(PLAN, ceiling_slack=0.0)
     assert reserved_units(no_slack) == pytest.approx(no_slack.ceiling_rate * REPLY_TIMEOUT / SECOND)
     for seed in range(4):
-        fleet = Gateways(replace(LENT, plans=(no_slack,)), seed, way=(1 * MS, REPLY_TIMEOUT))
-        assert run_traffic(fleet, 20, 60.0, 2.0).lowest >= -1e-6
+        fleet = Gateways(replace(LENT, plans=(no_slack,)), seed, network_delay=(1 * MS, REPLY_TIMEOUT))
+        assert run_traffic(fleet, 20, 60.0, 2.0).min_level >= -1e-6
 
 
 def test_messages_are_decoded_as_encoded_and_units_only_rounded_down() -> None:
@@ -235,7 +239,7 @@
             assert action.cause is Cause.CEILING
             refused.append(fleet.now)
 
-    fleet.on = record
+    fleet.on_action = record
     fleet.request(0, **request_fields(2.0))
     fleet.run(START + REPLY_TIMEOUT - 1)
     assert refused or fleet.gateways[0]._questions.count_pending(CUSTOMER, fleet.now)
@@ -245,10 +249,10 @@
 
 
 def test_a_request_that_waited_for_a_loan_is_not_sent_to_a_server_that_left_meanwhile() -> None:
-    fleet = Gateways(LENT, 1, servers=2, way=(20 * MS, 20 * MS))
+    fleet = Gateways(LENT, 1, servers=2, network_delay=(20 * MS, 20 * MS))
     fleet.run(START + 3 * SECOND)  # shares have been saved up
     sent: list[tuple[int, str]] = []
-    fleet.on = lambda gateway, action: (
+    fleet.on_action = lambda gateway, action: (
         sent.append((action.request, action.server)) if isinstance(action, Send) else None
     )
     waiting = [fleet.request(0, **request_fields(2.0)) for _ in range(6)]
@@ -263,12 +267,12 @@
 
 
 def test_a_request_whose_client_disconnects_while_it_waits_takes_no_units() -> None:
-    fleet = Gateways(LENT, 1, way=(90 * MS, 90 * MS))
+    fleet = Gateways(LENT, 1, network_delay=(90 * MS, 90 * MS))
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     request = fleet.request(0, **request_fields(2.0))
     fleet.run(START + 20 * MS)
-    waiting = fleet.gateways[0]._customers[CUSTOMER].waits
+    waiting = fleet.gateways[0]._customers[CUSTOMER].waiting
     assert [job.request.id for job in waiting] == [request]
     fleet.feed(0, Expired(request))
     assert not waiting
@@ -292,13 +296,13 @@
         actions = fleet.gateways[0].handle(fleet.now, PeerMessage(rng.randrange(20), bytes(data)))
         assert all(isinstance(action, Tell) for action in actions)
     known = fleet.gateways[0]._customers.get(CUSTOMER)
-    assert known is None or known.ceiling <= known.full
+    assert known is None or known.ceiling_units <= known.ceiling_capacity
 
 
 def test_a_request_is_refused_once_the_last_reply_brings_nothing() -> None:
-    fleet = Gateways(LENT, 1, way=(1 * MS, 1 * MS))
+    fleet = Gateways(LENT, 1, network_delay=(1 * MS, 1 * MS))
     refused: list[int] = []
-    fleet.on = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
+    fleet.on_action = lambda _, action: refused.append(fleet.now) if isinstance(action, Refuse) else None
     fleet.request(0, **request_fields(2.0))
     fleet.run(START + SECOND)
     assert len(refused) == 1
@@ -310,11 +314,11 @@
     fleet = Gateways(replace(LENT, plans=(small,)), 1)
     fleet.now += 60 * SECOND
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     fleet.request(0, **request_fields(2.0))  # a share is 1.5
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
-    assert fleet.gateways[0]._customers[CUSTOMER].ceiling <= 1.5
+    assert fleet.gateways[0]._customers[CUSTOMER].ceiling_units <= 1.5
 
 
 def test_a_low_share_is_topped_up_before_it_is_needed() -> None:
@@ -326,7 +330,7 @@
     fleet.request(0, **request_fields(2.0))
     fleet.run(fleet.now + SECOND)
     assert fleet.messages == 2
-    assert fleet.gateways[0]._customers[CUSTOMER].ceiling == pytest.approx(4.0)
+    assert fleet.gateways[0]._customers[CUSTOMER].ceiling_units == pytest.approx(4.0)
 
 
 def test_a_customer_whose_share_has_just_been_lent_is_not_evicted() -> None:
@@ -346,12 +350,12 @@
 
 def test_loans_from_several_gateways_add_up_for_a_waiting_request() -> None:
     small = replace(PLAN, ceiling_burst=12.0, ceiling_slack=6.0)
-    fleet = Gateways(replace(LENT, plans=(small,)), 2, way=(1 * MS, 5 * MS))
+    fleet = Gateways(replace(LENT, plans=(small,)), 2, network_delay=(1 * MS, 5 * MS))
     fleet.now += 60 * SECOND
     for number in range(1, FLEET):
         fleet.gateways[number].handle(fleet.now, PeerMessage(0, encode(replace(ASKED, units=0.6))))
     sent: list[Action] = []
-    fleet.on = lambda _, action: sent.append(action) if isinstance(action, Send) else None
+    fleet.on_action = lambda _, action: sent.append(action) if isinstance(action, Send) else None
     fleet.request(0, **request_fields(2.0))  # a share is 1, and no gateway has more than 0.4 left
     fleet.run(fleet.now + SECOND)
     assert len(sent) == 1
