--- a/mothgap/state.py
+++ b/mothgap/state.py
@@ -8,7 +8,7 @@
 import math
 
 from mothgap.interface import Member, Request, RequestClass
-from mothgap.names import NAME_LIFE, SECOND
+from mothgap.names import MAX_NAME_LIFETIME, SECOND
 
 # Microseconds; news of a server's start never arrives later than this.
 CLOCK_TOLERANCE = 60 * SECOND
@@ -74,8 +74,8 @@
         self.quota_rate = 0.0  # units a second
         # Of an even share of the ceiling; the rate in units a second.
         self.ceiling_refill_rate, self.ceiling_capacity = 0.0, 0.0
-        self.last_request_at = now - NAME_LIFE  # when a request of the customer last arrived here
-        self.last_no_room_at = now - NAME_LIFE  # when it was last found to have no room
+        self.last_request_at = now - MAX_NAME_LIFETIME  # when a request of the customer last arrived here
+        self.last_no_room_at = now - MAX_NAME_LIFETIME  # when it was last found to have no room
         self.open_requests = 0
         self.waiting: list[OpenRequest] = []  # waiting for ceiling units from other gateways
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,7 +10,7 @@
 from mothgap.rules import IDLE_CONNECTION_TIME
 from mothgap.settings import read_settings
 from tests.helpers import KEYED, MS, SECOND, SETTINGS, START, Driver, ready_server
-from tests.test_drill import FACTS
+from tests.test_drill import SETTINGS_OBJECT
 
 WITHOUT_COUNTER = replace(SETTINGS, counter=None, fleet_size=1)
 
@@ -139,8 +139,8 @@
 
 
 def test_the_price_of_a_handshake_is_read_from_the_settings_and_defaults_to_zero() -> None:
-    assert read_settings({**FACTS, "prices": {"handshake": 0.07, "odd": 1}}).handshake_price == 0.07
-    assert read_settings({k: v for k, v in FACTS.items() if k != "prices"}).handshake_price == 0.0
+    assert read_settings({**SETTINGS_OBJECT, "prices": {"handshake": 0.07, "odd": 1}}).handshake_price == 0.07
+    assert read_settings({k: v for k, v in SETTINGS_OBJECT.items() if k != "prices"}).handshake_price == 0.0
 
 
 def servers_used(driver: Driver, count: int = 300) -> set[str]:
