--- a/lynxreel/counters/bump.py
+++ b/lynxreel/counters/bump.py
@@ -65,7 +65,7 @@
         return self.transport is not None and not self.transport.is_closing() and not self.retired
 
     def retire(self) -> None:
-        """Take no new calls, as another connection replaces it; close it after the outstanding answers."""
+        """Take no new calls, as another connection replaces it; close it when idle, or after DEAD_AFTER."""
         self.retired = True
         self._counter.loop.call_later(DEAD_AFTER if self.written else 0, self.drop)
 
@@ -126,8 +126,8 @@
         One `Counted` follows, and a `CountedLate` if the total arrives after a timeout. A name with calls in
         flight stays on its connection, so that its calls stay in order.
         """
-        life = max(1, math.ceil(lifetime / 1_000))
-        call = _Call(name, amount, b"bump %x %.6f %d\r\n" % (name, amount, life), self.loop.time())
+        lifetime_ms = max(1, math.ceil(lifetime / 1_000))
+        call = _Call(name, amount, b"bump %x %.6f %d\r\n" % (name, amount, lifetime_ms), self.loop.time())
         connection = self.connection_for(name)
         if connection is None:
             self.end(call, Result.CONNECT_FAILED)
--- a/lynxreel/membership/core.py
+++ b/lynxreel/membership/core.py
@@ -104,13 +104,13 @@
         return [*self._note_alive(now), *actions, *self._update(now)]
 
     def apply_change(
-        self, now: float, revision: int, put: Iterable[Box], gone: Iterable[str]
+        self, now: float, revision: int, put: Iterable[Box], removed: Iterable[str]
     ) -> list[Action]:
         """Apply a change as one step. One of a known revision is ignored, except as a sign of life."""
         if revision <= self.revision:
             return self._note_alive(now)
         reported = dict(self._reported)
-        for box_id in gone:
+        for box_id in removed:
             reported.pop(box_id, None)
         reported.update((box.id, box) for box in put)
         self._note_flaps(now, reported, [*self._reported, *reported])
@@ -247,9 +247,9 @@
         self.held = ""
         self._removed |= dict.fromkeys(removed, now)
         changed = tuple(box for box_id, box in wanted.items() if self.known.get(box_id) != box)
-        gone = tuple(box_id for box_id in self.known if box_id not in wanted)
+        removed_ids = tuple(box_id for box_id in self.known if box_id not in wanted)
         self.known = wanted
-        return [*actions, Publish(self.revision, changed, gone)] if changed or gone else actions
+        return [*actions, Publish(self.revision, changed, removed_ids)] if changed or removed_ids else actions
 
 
 def _serves(box: Box | None) -> bool:
--- a/lynxreel/membership/document.py
+++ b/lynxreel/membership/document.py
@@ -1,4 +1,4 @@
-"""The list of boxes as a JSON document. It is read as a whole or not at all; errors tell their place.
+"""The list of boxes as a JSON document. It is read as a whole or not at all; errors state their place.
 
     {"revision": 41, "boxes": [{"id": "b1", "address": "10.0.0.5:7001", "state": "serving"}, ...]}
     sha256 3f1c...
--- a/lynxreel/membership/edit.py
+++ b/lynxreel/membership/edit.py
@@ -23,7 +23,7 @@
     try:
         read_box(box_id, kv.value)
     except DocumentError as error:
-        raise EditError(f"{box_id}: its value can't be read: {error}; put it anew") from None
+        raise EditError(f"{box_id}: its value can't be read: {error}; put it again") from None
     value = json.loads(kv.value)
     if value.get("state") == "draining":
         return None
