--- a/lynxreel/standins/interleavings.py
+++ b/lynxreel/standins/interleavings.py
@@ -23,7 +23,17 @@
 
 from lynxreel.links.peers import Dead, Peer, Peers, State
 from lynxreel.links.rank import Ranks
-from lynxreel.takeover.actions import Action, Ask, Begin, Carry, Give, Go, Leave, Say, Stay
+from lynxreel.takeover.actions import (
+    Action,
+    AllowAttempt,
+    AnswerClient,
+    CancelRequest,
+    DenyAttempt,
+    ProposeDecision,
+    ResumeRequest,
+    SendMessage,
+    StartRequest,
+)
 from lynxreel.takeover.entries import Asked, Kept, Own, Sought
 from lynxreel.takeover.grants import _Grant
 from lynxreel.takeover.messages import Answer, How, Message, Record
@@ -164,29 +174,29 @@
     own = made.instances[number]
     for action in actions:
         match action:
-            case Say():
+            case SendMessage():
                 if own.peers.peers[action.to].state is State.UP:
                     made.flying.append((number, own.life, NAMES.index(action.to), action.message))
-            case Go():
+            case AllowAttempt():
                 if How.UNKNOWN in made.told.get(action.id, ()):
                     made.wrongs.append("sent on after it was told as unknown")
                 made.attempts.append((action.id, number, own.life, action.attempt))
-            case Stay():
+            case DenyAttempt():
                 if action.id in own.engine:  # the module gives up
                     del own.engine[action.id]
                     own.work.missed(action.id, action.attempt)
                     _act(made, number, own.work.finished(made.now, action.id, Answer(How.REFUSED)))
-            case Carry():
+            case ResumeRequest():
                 own.engine[action.record.id] = 0
                 if not action.counted:
                     made.wrongs.append("its units are counted twice")
-            case Begin():
+            case StartRequest():
                 _accept(made, number, action.token)
-            case Leave():
+            case CancelRequest():
                 own.engine.pop(action.id, None)
-            case Give():
+            case AnswerClient():
                 made.told.setdefault(made.waiting.pop(action.token), []).append(action.answer.how)
-            case Ask():
+            case ProposeDecision():
                 made.asking.append((number, own.life, action.pair, action.owner))
 
 
--- a/lynxreel/takeover/actions.py
+++ b/lynxreel/takeover/actions.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send a message to another instance."""
 
     to: str
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Go:
+class AllowAttempt:
     """Send the attempt that was announced."""
 
     id: bytes
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class DenyAttempt:
     """Don't send the attempt: it has never run."""
 
     id: bytes
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carry:
+class ResumeRequest:
     """Resume a request that this instance owns now, through the decision module."""
 
     record: Record
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
+class AnswerClient:
     """Answer a client that waits here."""
 
     token: int
@@ -53,14 +53,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartRequest:
     """Start a new request: nobody holds one under the key of this client."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class CancelRequest:
     """Cancel a request that nobody here waits for. `moved`: another instance owns it and its units."""
 
     id: bytes
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class ReportTransfer:
     """Report to operators that a request moved to this instance, or from this one to another."""
 
     id: bytes
@@ -79,11 +79,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ProposeDecision:
     """Write this instance's ownership decision on a pair's replicas, unless there is one already."""
 
     pair: Pair
     owner: bool  # propose the owner; otherwise the keeper
 
 
-Action: TypeAlias = Say | Go | Stay | Carry | Give | Begin | Leave | Passed | Ask
+Action: TypeAlias = (
+    SendMessage
+    | AllowAttempt
+    | DenyAttempt
+    | ResumeRequest
+    | AnswerClient
+    | StartRequest
+    | CancelRequest
+    | ReportTransfer
+    | ProposeDecision
+)
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -13,7 +13,18 @@
 from lynxreel.links.peers import News
 from lynxreel.links.rank import Ranks
 from lynxreel.log import log
-from lynxreel.takeover.actions import Action, Ask, Begin, Carry, Give, Go, Leave, Passed, Say, Stay
+from lynxreel.takeover.actions import (
+    Action,
+    AllowAttempt,
+    AnswerClient,
+    CancelRequest,
+    DenyAttempt,
+    ProposeDecision,
+    ReportTransfer,
+    ResumeRequest,
+    SendMessage,
+    StartRequest,
+)
 from lynxreel.takeover.calls import Covered, answer_call
 from lynxreel.takeover.messages import KINDS, Answer, How, Record
 from lynxreel.takeover.terms import Class, Terms
@@ -320,34 +331,34 @@
         """Performs actions. `at_hand`: a client and its value as received; the answer may hold less of it."""
         for action in actions:
             match action:
-                case Say():
+                case SendMessage():
                     (self.mesh.say_idly if action.deferrable else self.mesh.say)(action.to, action.message)
-                case Give():
+                case AnswerClient():
                     self.mesh.flush()  # the keeper's message is written before the client's answer
                     self._answer_client(action, at_hand)
-                case Go():
+                case AllowAttempt():
                     if (pending := self._pending_attempts.pop((action.id, action.attempt), None)) is not None:
                         self._servers.send(pending[0], max(0, pending[1] - self._now()))
-                case Stay():
+                case DenyAttempt():
                     if (pending := self._pending_attempts.pop((action.id, action.attempt), None)) is not None:
                         self._engine.finished(pending[0], Result.NOT_SENT)
-                case Carry():
+                case ResumeRequest():
                     self._resume(action)
-                case Begin():
+                case StartRequest():
                     self._start_absent(action.token)
-                case Passed():
+                case ReportTransfer():
                     where = {"here": action.here, "other": action.other, "how": action.how}
                     self.note("passed", {"id": action.id.decode(), "class": action.cls, **where})
-                case Leave():
+                case CancelRequest():
                     if (covered := self._by_id.pop(action.id, None)) is not None:
                         covered.is_over = True
                         self._covered.pop(covered.request, None)
                         self._engine.gone(covered.request, action.moved)
-                case Ask():
+                case ProposeDecision():
                     self._propose_decision(action)
         self._schedule_tick()
 
-    def _answer_client(self, action: Give, at_hand: tuple[int, bytes | Stream] | None) -> None:
+    def _answer_client(self, action: AnswerClient, at_hand: tuple[int, bytes | Stream] | None) -> None:
         if (timer := self._timers.pop(action.token, None)) is not None:
             timer.cancel()
         call = self._calls.pop(action.token, None)
@@ -357,7 +368,7 @@
         harmless = self._settings.classes[call.cls].effect is not Effect.ONCE
         answer_call(call, action.answer, value, harmless)
 
-    def _resume(self, action: Carry) -> None:
+    def _resume(self, action: ResumeRequest) -> None:
         """Resumes a failed owner's request through the decision module."""
         record = action.record
         places = (self._places[0].get(record.cls), self._places[1].get(record.plan))
@@ -375,13 +386,13 @@
         self._covered[covered.request] = covered
         self._by_id[record.id] = covered
 
-    def _propose_decision(self, action: Ask) -> None:
+    def _propose_decision(self, action: ProposeDecision) -> None:
         assert self._store is not None
         task = self._loop.create_task(self._write_decision(self._store, action))
         self._decision_tasks.add(task)
         task.add_done_callback(self._decision_tasks.discard)
 
-    async def _write_decision(self, store: Store, action: Ask) -> None:
+    async def _write_decision(self, store: Store, action: ProposeDecision) -> None:
         owner_resumes = await store.write(action.pair, action.owner)
         self._perform(self.work.word(self._now(), action.pair, owner_resumes))
 
--- a/lynxreel/takeover/work.py
+++ b/lynxreel/takeover/work.py
@@ -27,15 +27,15 @@
 from lynxreel.links.rank import Ranks
 from lynxreel.takeover.actions import (
     Action,
-    Ask,
-    Begin,
-    Carry,
-    Give,
-    Go,
-    Leave,
-    Passed,
-    Say,
-    Stay,
+    AllowAttempt,
+    AnswerClient,
+    CancelRequest,
+    DenyAttempt,
+    ProposeDecision,
+    ReportTransfer,
+    ResumeRequest,
+    SendMessage,
+    StartRequest,
 )
 from lynxreel.takeover.entries import Asked, Kept, Own, Sought, Waiter
 from lynxreel.takeover.grants import PeerResponses, StartGrants
@@ -121,14 +121,14 @@
         self._actions = []
         owned = self.owned.get(request_id)
         if owned is None:
-            return [Go(request_id, attempt)]  # it was never replicated
+            return [AllowAttempt(request_id, attempt)]  # it was never replicated
         if owned.superseded_by:
             self.counts["fenced"] += 1
-            return [Stay(request_id, attempt)]
+            return [DenyAttempt(request_id, attempt)]
         first_run = self._first_possible_run(owned)
         owned.possible_runs[attempt] = now
         if owned.keeper is None:
-            return [Go(request_id, attempt)]
+            return [AllowAttempt(request_id, attempt)]
         owned.attempt_deadlines[attempt] = now + timeout
         owned.pending_attempts[attempt] = box
         self._ack_deadlines[(request_id, attempt)] = now + self._settings.wait
@@ -174,7 +174,7 @@
         # Taking over a refused request is harmless if it may run twice.
         deferrable = answer.how is How.REFUSED and self._class_of(owned.record).effect is Effect.REPEATABLE
         self._actions.append(
-            Say(owned.keeper, Done(owned.record.id, owned.epoch, session, answer), deferrable)
+            SendMessage(owned.keeper, Done(owned.record.id, owned.epoch, session, answer), deferrable)
         )
         if self._needs_ack(owned) and answer.how is How.REFUSED:
             # A client that is told that nothing ran may send the request anew: the keeper must know first.
@@ -210,7 +210,7 @@
                 continue
             entry.waiters.remove(token)
             if isinstance(entry, Own) and not entry.waiters and not self._may_have_run(entry):
-                self._actions.append(Leave(request_id))
+                self._actions.append(CancelRequest(request_id))
                 earlier_actions = self._actions
                 self._actions = [*earlier_actions, *self.finished(now, request_id, REFUSED)]
         return self._actions
@@ -235,7 +235,7 @@
         unknown = effect is Effect.ONCE
         self.counts["told_unknown"] += unknown
         self._local_waiters.pop(token, None)
-        self._actions.append(Give(token, UNKNOWN if unknown else REFUSED))
+        self._actions.append(AnswerClient(token, UNKNOWN if unknown else REFUSED))
 
     def _remove_pending(self, owned: Own, attempt: int) -> bool:
         """Removes an attempt that waits for its acknowledgement; returns whether it was waiting."""
@@ -265,7 +265,9 @@
         timeout = max(0, owned.attempt_deadlines.get(attempt, now) - now)
         session = self._leases.session(owned.keeper)
         self._actions.append(
-            Say(owned.keeper, Intent(owned.record.id, owned.epoch, session, attempt, box, sent_ago, timeout))
+            SendMessage(
+                owned.keeper, Intent(owned.record.id, owned.epoch, session, attempt, box, sent_ago, timeout)
+            )
         )
 
     def _choose_keeper(self, now: int, owned: Own) -> None:
@@ -293,7 +295,7 @@
             sent_ago = max(sent_ago, 0)
         time_left, session = max(0, owned.deadline - now), self._leases.session(owned.keeper)
         put = Put(owned.record, owned.epoch, session, time_left, owned.counted, sent_ago, owned.answer)
-        self._actions.append(Say(owned.keeper, put))
+        self._actions.append(SendMessage(owned.keeper, put))
         for attempt, box in owned.pending_attempts.items():
             self._send_intent(now, owned, attempt, box, first_run)
 
@@ -304,7 +306,7 @@
         needs_ack = owned.keeper is not None and self._needs_ack(owned)
         for attempt in [a for a in owned.pending_attempts if not needs_ack or a in owned.acknowledged]:
             self._remove_pending(owned, attempt)
-            self._actions.append(Go(owned.record.id, attempt))
+            self._actions.append(AllowAttempt(owned.record.id, attempt))
 
     def may_send(self, now: int, request_id: bytes) -> bool:
         """Returns whether an attempt may still be written; it may have waited for a connection."""
@@ -408,7 +410,7 @@
             elif lookup.awaiting[name]:
                 last = not seeks and lookup.round >= LOOKUP_ROUNDS
                 query = token, lookup.id, lookup.customer, lookup.round, last, lookup.mark
-                self._actions.append(Say(name, LookupRequest(*query, seeks, name == coordinator)))
+                self._actions.append(SendMessage(name, LookupRequest(*query, seeks, name == coordinator)))
         if isinstance(lookup, Sought):
             awaited = [
                 name
@@ -442,7 +444,7 @@
 
     def _start_request(self, token: int) -> None:
         del self.lookups[token], self._local_waiters[token]
-        self._actions.append(Begin(token))
+        self._actions.append(StartRequest(token))
 
     def _attach_waiter(
         self, now: int, waiter: Waiter, request_id: bytes, customer: int, mark: bytes = b""
@@ -483,7 +485,9 @@
                 if self._leases.begin_keeper_proposal(*owner, replica.session):
                     settings = self._settings
                     self._actions.append(
-                        Ask(Pair(*owner, settings.name, settings.incarnation, replica.session), False)
+                        ProposeDecision(
+                            Pair(*owner, settings.name, settings.incarnation, replica.session), False
+                        )
                     )
             case Standing.WAIT:
                 pass
@@ -501,7 +505,7 @@
                 )
             else:
                 # Its instance repeats the lookup by itself.
-                self._actions.append(Say(waiter[0], LookupResponse(waiter[1], -1, NONE)))
+                self._actions.append(SendMessage(waiter[0], LookupResponse(waiter[1], -1, NONE)))
 
     def _answer_waiters(self, entry: Own | Kept, answer: Answer) -> None:
         waiters, entry.waiters = entry.waiters, []
@@ -511,9 +515,9 @@
     def _answer_waiter(self, waiter: Waiter, answer: Answer) -> None:
         if isinstance(waiter, int):
             self._local_waiters.pop(waiter, None)
-            self._actions.append(Give(waiter, answer))
+            self._actions.append(AnswerClient(waiter, answer))
         else:
-            self._actions.append(Say(waiter[0], LookupResponse(waiter[1], 0, answer)))
+            self._actions.append(SendMessage(waiter[0], LookupResponse(waiter[1], 0, answer)))
 
     def _take_over(self, now: int, replica: Kept, dead: bool) -> None:
         """Takes a request over from its failed owner."""
@@ -523,7 +527,7 @@
             self.counts["told_unknown"] += final is UNKNOWN
             self._answer_waiters(owned, final)
         how = "carried on" if owned.answer is None else owned.answer.how.name.lower()
-        self._actions.append(Passed(record.id, record.cls, True, replica.owner, how))
+        self._actions.append(ReportTransfer(record.id, record.cls, True, replica.owner, how))
         self._choose_keeper(now, owned)
         if owned.answer is not None:
             return
@@ -537,7 +541,7 @@
             heapq.heappush(self._delayed_resumes, (min(replica.attempt_deadline, owned.deadline), record.id))
         else:
             self._actions.append(
-                Carry(record, owned.deadline - now, owned.counted, self._may_have_run(owned))
+                ResumeRequest(record, owned.deadline - now, owned.counted, self._may_have_run(owned))
             )
 
     def _become_owner(self, replica: Kept) -> Own:
@@ -597,12 +601,12 @@
                 if session_is_new:
                     self._discard_earlier_sessions(now, sender, incarnation, message.session)
                 if grant is not None:
-                    self._actions.append(Say(sender, grant))
+                    self._actions.append(SendMessage(sender, grant))
             case LeaseGrant():
                 if self._leases.grant_received(now, sender, message):
                     self._on_lease_regained(now, sender)
                 if self._leases.wants_early_renewal(sender):
-                    self._actions.append(Say(sender, self._leases.renewal(now, sender)))
+                    self._actions.append(SendMessage(sender, self._leases.renewal(now, sender)))
             case Ack():
                 owned = self._owned_at(sender, message.id, message.epoch)
                 if owned is not None and message.attempt == ANSWER_ACK:
@@ -630,19 +634,21 @@
             if request.starts_if_absent and any(
                 entry is not None and waiter in entry.waiters for entry in entries
             ):
-                self._actions.append(Say(sender, LookupResponse(request.token, request.round, PENDING)))
+                self._actions.append(
+                    SendMessage(sender, LookupResponse(request.token, request.round, PENDING))
+                )
             return
         coordinates = request.starts_if_absent and (
             request.to_coordinator or self._coordinator(request.id) == self._settings.name
         )
         if coordinates and self._start_grants.held_by_other(now, request.id, sender):
-            self._actions.append(Say(sender, LookupResponse(request.token, request.round, PENDING)))
+            self._actions.append(SendMessage(sender, LookupResponse(request.token, request.round, PENDING)))
             return
         if request.starts_if_absent:
             self._grant_start(now, request.id, sender)
         if request.last_round:
             self._report_missing(now, request.id)
-        self._actions.append(Say(sender, LookupResponse(request.token, request.round, NONE)))
+        self._actions.append(SendMessage(sender, LookupResponse(request.token, request.round, NONE)))
 
     def _owned_at(self, keeper: str, request_id: bytes, epoch: int) -> Own | None:
         owned = self.owned.get(request_id)
@@ -669,7 +675,7 @@
             owned.epoch if owned is not None else 0, replica.epoch if replica is not None else 0
         )
         if owned is not None or latest_epoch > epoch:
-            self._actions.append(Say(sender, Superseded(request_id, latest_epoch)))
+            self._actions.append(SendMessage(sender, Superseded(request_id, latest_epoch)))
             return False, None
         if (
             replica is None
@@ -690,7 +696,7 @@
             sender,
             incarnation,
         ):
-            self._actions.append(Say(sender, Rejected(request_id, put.epoch)))
+            self._actions.append(SendMessage(sender, Rejected(request_id, put.epoch)))
             return
         current, replica = self._find_replica(now, sender, incarnation, request_id, put.epoch, put.session)
         if not current:
@@ -723,7 +729,7 @@
         if put.answer is not None:
             self._set_answer(replica, put.answer)
             if put.answer.how is How.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
-                self._actions.append(Say(sender, Ack(request_id, put.epoch, ANSWER_ACK)))
+                self._actions.append(SendMessage(sender, Ack(request_id, put.epoch, ANSWER_ACK)))
 
     def _on_intent(self, now: int, sender: str, incarnation: int, intent: Intent) -> None:
         current, replica = self._find_replica(
@@ -738,7 +744,7 @@
         first_run = now - intent.sent_ago
         replica.sent_at = first_run if replica.sent_at is None else min(first_run, replica.sent_at)
         if self._class_of(replica.record).effect is Effect.ONCE:
-            self._actions.append(Say(sender, Ack(intent.id, intent.epoch, intent.attempt)))
+            self._actions.append(SendMessage(sender, Ack(intent.id, intent.epoch, intent.attempt)))
 
     def _report_missing(self, now: int, request_id: bytes) -> None:
         """Notes that the request was reported as not found: a failed owner's replica now comes too late."""
@@ -749,14 +755,14 @@
         """Rejects a replica for good: the owner looks for another keeper, and there must be only one."""
         self._rejected[request_id] = (epoch, sender, incarnation)
         self._expire_at(now + self._settings.keep, request_id)
-        self._actions.append(Say(sender, Rejected(request_id, epoch)))
+        self._actions.append(SendMessage(sender, Rejected(request_id, epoch)))
 
     def _on_done(self, now: int, sender: str, incarnation: int, done: Done) -> None:
         _, replica = self._find_replica(now, sender, incarnation, done.id, done.epoch, done.session)
         if replica is not None:
             self._set_answer(replica, done.answer)
             if done.answer.how is How.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
-                self._actions.append(Say(sender, Ack(done.id, done.epoch, ANSWER_ACK)))
+                self._actions.append(SendMessage(sender, Ack(done.id, done.epoch, ANSWER_ACK)))
 
     def _set_answer(self, replica: Kept, answer: Answer) -> None:
         if replica.answer is None:
@@ -778,14 +784,14 @@
             return
         owned.superseded_by = epoch
         self.counts["fenced"] += 1
-        self._actions.append(Passed(owned.record.id, owned.record.cls, False, "", "answer asked for"))
+        self._actions.append(ReportTransfer(owned.record.id, owned.record.cls, False, "", "answer asked for"))
         owned.withheld, owned.refusal_pending = None, False
         self._ack_deadlines.pop((owned.record.id, ANSWER_ACK), None)
         self._withheld.pop(owned.record.id, None)
-        self._actions.append(Leave(owned.record.id, moved=True))
+        self._actions.append(CancelRequest(owned.record.id, moved=True))
         for attempt in list(owned.pending_attempts):
             self._remove_pending(owned, attempt)
-            self._actions.append(Stay(owned.record.id, attempt))
+            self._actions.append(DenyAttempt(owned.record.id, attempt))
         waiters, owned.waiters = owned.waiters, []
         self._redirect_waiters(now, owned.record, waiters)
 
@@ -860,14 +866,14 @@
                     now, self._settings.name, self._settings.incarnation, keeper
                 )
                 if pair is not None:
-                    self._actions.append(Ask(pair, True))
+                    self._actions.append(ProposeDecision(pair, True))
         for request_id in list(self._awaited_replicas):
             if (replica := self.replicas.get(request_id)) is not None:
                 self._try_takeover(now, replica)
         for pair, (when, as_owner) in list(self._decision_retries.items()):
             if when <= now:
                 del self._decision_retries[pair]
-                self._actions.append(Ask(pair, as_owner))
+                self._actions.append(ProposeDecision(pair, as_owner))
 
     def _on_lookup_response(self, now: int, sender: str, response: LookupResponse) -> None:
         self._responses.response_received(sender)
@@ -899,7 +905,7 @@
             self._responses.response_received(change.name)
             self._leases.keeper_connected(change.name, change.incarnation)
             if self._settings.lease:
-                self._actions.append(Say(change.name, self._leases.renewal(now, change.name)))
+                self._actions.append(SendMessage(change.name, self._leases.renewal(now, change.name)))
         for owned in [
             owned for owned in self.owned.values() if owned.keeper == change.name and not owned.superseded_by
         ]:
@@ -1003,7 +1009,7 @@
                 continue
             self._remove_pending(self.owned[request_id], attempt)
             self.counts["stayed"] += 1
-            self._actions.append(Stay(request_id, attempt))
+            self._actions.append(DenyAttempt(request_id, attempt))
         for token, lookup in list(self.lookups.items()):
             if lookup.retry_at <= now and isinstance(lookup, Sought):
                 self._continue_keyed_lookup(now, token, lookup)
@@ -1016,7 +1022,7 @@
         if self._settings.lease and self._next_renewal <= now:
             self._next_renewal = now + self._settings.lease // RENEWALS_PER_LEASE
             for name in self._peers.up():
-                self._actions.append(Say(name, self._leases.renewal(now, name)))
+                self._actions.append(SendMessage(name, self._leases.renewal(now, name)))
             self._propose_decisions(now)
             for request_id in [
                 request_id for request_id in self._withheld if self.owned[request_id].deadline <= now
@@ -1037,7 +1043,7 @@
             self._finish(now, owned, final)
         else:
             self._actions.append(
-                Carry(owned.record, owned.deadline - now, owned.counted, self._may_have_run(owned))
+                ResumeRequest(owned.record, owned.deadline - now, owned.counted, self._may_have_run(owned))
             )
 
     def _expire_at(self, when: int, request_id: bytes) -> None:
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -22,7 +22,7 @@
     world,
 )
 from lynxreel.takeover import work as core
-from lynxreel.takeover.actions import Carry
+from lynxreel.takeover.actions import ResumeRequest
 from lynxreel.takeover.entries import Own
 from lynxreel.takeover.grants import StartGrants
 from lynxreel.takeover.messages import NONE, How, Record
@@ -145,11 +145,11 @@
 def units_forgotten(patch: pytest.MonkeyPatch) -> None:
     """The new owner counts units again that have been counted."""
 
-    class Forgetful(Carry):
+    class Forgetful(ResumeRequest):
         def __init__(self, record: Record, time_left: int, counted: bool, sent: bool) -> None:
             super().__init__(record, time_left, False, sent)
 
-    patch.setattr(core, "Carry", Forgetful)
+    patch.setattr(core, "ResumeRequest", Forgetful)
 
 
 def unknown_run_again(patch: pytest.MonkeyPatch) -> None:
