--- a/lynxreel/standins/interleavings.py
+++ b/lynxreel/standins/interleavings.py
@@ -34,19 +34,19 @@
     SendMessage,
     StartRequest,
 )
-from lynxreel.takeover.entries import Asked, Kept, Own, Sought
+from lynxreel.takeover.entries import KeyedLookup, Lookup, OwnedRequest, Replica
 from lynxreel.takeover.grants import _Grant
-from lynxreel.takeover.messages import Answer, How, Message, Record
+from lynxreel.takeover.messages import Answer, AnswerKind, Message, Record
 from lynxreel.takeover.rights import Pair, _Given, _Held
-from lynxreel.takeover.terms import Class, Terms
+from lynxreel.takeover.terms import ClassSettings, TakeoverSettings
 from lynxreel.takeover.work import Work
 from mothgap.interface import Effect
 
 NAMES = ("a", "b", "c")
 CLASSES = {
-    "once": Class(Effect.ONCE),
-    "repeatable": Class(Effect.REPEATABLE),
-    "keyed": Class(Effect.KEYED, 60_000_000),
+    "once": ClassSettings(Effect.ONCE),
+    "repeatable": ClassSettings(Effect.REPEATABLE),
+    "keyed": ClassSettings(Effect.KEYED, 60_000_000),
 }
 START = 1_000_000
 LEASE = 300_000
@@ -97,7 +97,7 @@
     comes: list[tuple[int, int]] = field(default_factory=list)  # clients that may come back: what, where
     news: list[tuple[int, Any]] = field(default_factory=list)  # what instances will learn of each other
     runs: dict[bytes, int] = field(default_factory=dict)
-    told: dict[bytes, list[How]] = field(default_factory=dict)
+    told: dict[bytes, list[AnswerKind]] = field(default_factory=dict)
     waiting: dict[int, bytes] = field(default_factory=dict)  # clients, by token
     wrongs: list[str] = field(default_factory=list)  # what must never be done
     classes: tuple[str, ...] = ()  # of the requests
@@ -178,14 +178,14 @@
                 if own.peers.peers[action.to].state is State.UP:
                     made.flying.append((number, own.life, NAMES.index(action.to), action.message))
             case AllowAttempt():
-                if How.UNKNOWN in made.told.get(action.id, ()):
+                if AnswerKind.UNKNOWN in made.told.get(action.id, ()):
                     made.wrongs.append("sent on after it was told as unknown")
                 made.attempts.append((action.id, number, own.life, action.attempt))
             case DenyAttempt():
                 if action.id in own.engine:  # the module gives up
                     del own.engine[action.id]
                     own.work.missed(action.id, action.attempt)
-                    _act(made, number, own.work.finished(made.now, action.id, Answer(How.REFUSED)))
+                    _act(made, number, own.work.finished(made.now, action.id, Answer(AnswerKind.REFUSED)))
             case ResumeRequest():
                 own.engine[action.record.id] = 0
                 if not action.counted:
@@ -310,7 +310,7 @@
             own = made.instances[to]
             if own.alive and own.life == life and number in own.engine:
                 del own.engine[number]
-                _act(made, to, own.work.finished(now, number, Answer(How.SERVED, b"v")))
+                _act(made, to, own.work.finished(now, number, Answer(AnswerKind.SERVED, b"v")))
         case ("learn", place):
             to, dead = made.news.pop(place)
             own = made.instances[to]
@@ -353,9 +353,9 @@
         if cls == "keyed" and runs > 1 + made.died and made.now < START + SILENCE:
             return "a key was run more often than its owners died"
     for request, hows in made.told.items():
-        if How.REFUSED in hows and made.runs.get(request) and _class_of(made, request) == "once":
+        if AnswerKind.REFUSED in hows and made.runs.get(request) and _class_of(made, request) == "once":
             return "told as refused, and it ran"
-        if How.SERVED in hows and How.FAILED in hows:
+        if AnswerKind.SERVED in hows and AnswerKind.FAILED in hows:
             return "two answers that differ"
     return made.wrongs[0] if made.wrongs else ""
 
@@ -369,8 +369,8 @@
     return ""
 
 
-def _terms(name: str, lease: int, incarnation: int) -> Terms:
-    return Terms(
+def _terms(name: str, lease: int, incarnation: int) -> TakeoverSettings:
+    return TakeoverSettings(
         name, CLASSES, wait=WAIT, silence=SILENCE, keep=10_000_000, lease=lease, incarnation=incarnation
     )
 
@@ -385,11 +385,24 @@
     return lambda thing: (cls, values(thing))
 
 
-PLAIN = (World, Instance, Budget, Own, Kept, Asked, Sought, Peer, _Held, _Given, _Grant, Pair)
+PLAIN = (
+    World,
+    Instance,
+    Budget,
+    OwnedRequest,
+    Replica,
+    Lookup,
+    KeyedLookup,
+    Peer,
+    _Held,
+    _Given,
+    _Grant,
+    Pair,
+)
 TABLE: dict[type, Callable[[Any], tuple[Any, ...]]] = {
     **copyreg.dispatch_table,  # type: ignore[dict-item]
     **{cls: _plain(cls) for cls in PLAIN},
-    Terms: lambda terms: (_terms, (terms.name, terms.lease, terms.incarnation)),
+    TakeoverSettings: lambda terms: (_terms, (terms.name, terms.lease, terms.incarnation)),
     Ranks: lambda ranks: (_ranks, ()),
 }
 
--- a/lynxreel/takeover/calls.py
+++ b/lynxreel/takeover/calls.py
@@ -8,7 +8,7 @@
 from lynxreel.engine.engine import Call
 from lynxreel.protocol import commands
 from lynxreel.relay.stream import Stream
-from lynxreel.takeover.messages import OTHER, Answer, How, Record
+from lynxreel.takeover.messages import OTHER, Answer, AnswerKind, Record
 
 if TYPE_CHECKING:
     from lynxreel.protocol.exchange import Exchange
@@ -75,24 +75,24 @@
     def served(self, value: bytes | Stream, again: bool = False) -> None:
         """Handles a server's value, which may still be streaming."""
         if isinstance(value, Stream):
-            self.ended(self, Answer(How.UNKEPT), value)
+            self.ended(self, Answer(AnswerKind.UNKEPT), value)
         elif (status := getattr(value, "status", 0)) != 0:
             fields = tuple(getattr(value, "fields", ()))
-            self.ended(self, Answer(How.SERVED, bytes(value), 0, status, fields), value)
+            self.ended(self, Answer(AnswerKind.SERVED, bytes(value), 0, status, fields), value)
         else:
-            self.ended(self, Answer(How.SERVED, value), value)
+            self.ended(self, Answer(AnswerKind.SERVED, value), value)
 
     def refused(self, wait: int) -> None:
         """Handles a refusal; it may be sent again after `wait` microseconds if not 0."""
-        self.ended(self, Answer(How.REFUSED, wait=wait), b"")
+        self.ended(self, Answer(AnswerKind.REFUSED, wait=wait), b"")
 
     def failed(self) -> None:
         """Handles a failure."""
-        self.ended(self, Answer(How.FAILED), b"")
+        self.ended(self, Answer(AnswerKind.FAILED), b"")
 
     def unknown(self) -> None:
         """Handles an outcome that is unknown: it may have run."""
-        self.ended(self, Answer(How.UNKNOWN), b"")
+        self.ended(self, Answer(AnswerKind.UNKNOWN), b"")
 
     def clash(self) -> None:
         """Handles a conflict: its id belongs to another request."""
@@ -102,24 +102,24 @@
 def answer_call(call: Call, answer: Answer, value: bytes | Stream | None, harmless: bool) -> None:
     """Answers a client. `value`: as received, if at hand; `harmless`: the request may run twice."""
     match answer.how:
-        case How.SERVED if value is not None:
+        case AnswerKind.SERVED if value is not None:
             call.served(value)
-        case How.SERVED if answer.status:
+        case AnswerKind.SERVED if answer.status:
             # Imported here: only needed if boxes speak HTTP.
             from lynxreel.protocol.exchange import Answer as HttpAnswer
 
             call.served(HttpAnswer.of(answer.value, answer.status, answer.fields), again=True)
-        case How.SERVED:
+        case AnswerKind.SERVED:
             call.served(answer.value, again=True)
-        case How.UNKEPT if value is not None:
+        case AnswerKind.UNKEPT if value is not None:
             call.served(value)
-        case How.REFUSED:
+        case AnswerKind.REFUSED:
             call.refused(answer.wait)
-        case How.FAILED:
+        case AnswerKind.FAILED:
             call.failed()
-        case How.OTHER:
+        case AnswerKind.OTHER:
             call.clash()
-        case How.UNKEPT if harmless:
+        case AnswerKind.UNKEPT if harmless:
             call.refused(0)
         case _:
             call.unknown()
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -26,8 +26,8 @@
     StartRequest,
 )
 from lynxreel.takeover.calls import Covered, answer_call
-from lynxreel.takeover.messages import KINDS, Answer, How, Record
-from lynxreel.takeover.terms import Class, Terms
+from lynxreel.takeover.messages import MESSAGE_TYPES, Answer, AnswerKind, Record
+from lynxreel.takeover.terms import ClassSettings, TakeoverSettings
 from lynxreel.takeover.work import Work
 from mothgap.interface import Effect, Result, Settings
 
@@ -65,11 +65,11 @@
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
         engine.backend, engine.watch = self, self
         servers.may, self.mesh = self._may_send, mesh
-        mesh.join(KINDS, self._message_received, self._peers_changed)
+        mesh.join(MESSAGE_TYPES, self._message_received, self._peers_changed)
         places = (mesh.own, *mesh.places.values())
         zones = {place.name: place.zone for place in places}
         hosts = {place.name: place.host or place.name for place in places}
-        self._classes: dict[str, Class] = {}
+        self._classes: dict[str, ClassSettings] = {}
         self._store: Store | None = None
         if plan.decisions is not None:
             # Imported here: it needs a library that is not needed otherwise.
@@ -77,7 +77,7 @@
 
             self._store = Store(plan.decisions, plan.retention + plan.longest_deadline)
         self._decision_tasks: set[asyncio.Task[None]] = set()
-        terms = Terms(
+        terms = TakeoverSettings(
             name=mesh.own.name,
             classes=self._classes,
             max_replicas=plan.max_replicas,
@@ -116,7 +116,7 @@
         self._names = tuple({number: name for name, number in named.items()} for named in places)
         for name, number in places[0].items():
             cls = settings.classes[number]
-            self._classes[name] = Class(cls.effect, cls.key_memory)
+            self._classes[name] = ClassSettings(cls.effect, cls.key_memory)
 
     async def leave(self) -> None:
         """Moves replicas of failed owners to other instances; called at shutdown, with no answer pending."""
@@ -374,14 +374,14 @@
         places = (self._places[0].get(record.cls), self._places[1].get(record.plan))
         if places[0] is None or places[1] is None:
             log(f"can't resume a request of class {record.cls} and plan {record.plan}: unknown here")
-            self._perform(self.work.finished(self._now(), record.id, Answer(How.FAILED)))
+            self._perform(self.work.finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
             return
         patience = (action.time_left + WAY) // 1_000
         taken = action.counted, action.sent
         covered = Covered.resumed(record, (places[0], places[1]), patience, *taken, self._ended)
         covered.request = self._engine.submit(covered)
         if not covered.request:  # an attempt under this id is still running here
-            self._perform(self.work.finished(self._now(), record.id, Answer(How.FAILED)))
+            self._perform(self.work.finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
             return
         self._covered[covered.request] = covered
         self._by_id[record.id] = covered
--- a/lynxreel/takeover/entries.py
+++ b/lynxreel/takeover/entries.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class OwnedRequest:
     """A request that this instance owns. Times are microseconds."""
 
     record: Record
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class Replica:
     """A replica of another owner's request. Times are microseconds."""
 
     record: Record
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class Lookup:
     """The lookup of a request that a client returned for and that is not held here."""
 
     id: bytes
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Sought(Asked):
+class KeyedLookup(Lookup):
     """The lookup for a key that may have been used before: the request is started if nobody holds it."""
 
     response_deadlines: dict[str, int] = field(default_factory=dict)  # until when each peer is awaited
--- a/lynxreel/takeover/messages.py
+++ b/lynxreel/takeover/messages.py
@@ -9,7 +9,7 @@
 from lynxreel.takeover.rights import LeaseGrant, LeaseRequest
 
 
-class How(IntEnum):
+class AnswerKind(IntEnum):
     """How a request ended, or why there is no answer. Operators' records have the names in lower case."""
 
     NONE = 0  # not held here
@@ -25,7 +25,7 @@
 class Answer(msgspec.Struct, frozen=True, array_like=True):
     """A final answer. `wait`: microseconds after which a refused request may be sent again."""
 
-    how: How
+    how: AnswerKind
     value: bytes = b""
     wait: int = 0
     status: int = 0  # of an HTTP answer, with its header fields; 0 for any other
@@ -33,7 +33,8 @@
 
 
 NONE, UNKNOWN, REFUSED, OTHER, PENDING = (
-    Answer(how) for how in (How.NONE, How.UNKNOWN, How.REFUSED, How.OTHER, How.PENDING)
+    Answer(how)
+    for how in (AnswerKind.NONE, AnswerKind.UNKNOWN, AnswerKind.REFUSED, AnswerKind.OTHER, AnswerKind.PENDING)
 )
 
 
@@ -146,7 +147,7 @@
     | LeaseRequest
     | LeaseGrant
 )
-KINDS = (
+MESSAGE_TYPES = (
     Put,
     Intent,
     Ack,
--- a/lynxreel/takeover/terms.py
+++ b/lynxreel/takeover/terms.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
+class ClassSettings:
     """What takeovers need to know of a class of requests."""
 
     effect: Effect
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class TakeoverSettings:
     """Settings of one instance. Times are microseconds."""
 
     name: str
-    classes: Mapping[str, Class]
+    classes: Mapping[str, ClassSettings]
     max_replicas: int = 20_000  # replicas kept
     max_replica_bytes: int = 32 << 20  # bytes of replicas kept
     wait: int = 20_000  # for which an attempt waits for its intent to be acknowledged
--- a/lynxreel/takeover/work.py
+++ b/lynxreel/takeover/work.py
@@ -37,7 +37,7 @@
     SendMessage,
     StartRequest,
 )
-from lynxreel.takeover.entries import Asked, Kept, Own, Sought, Waiter
+from lynxreel.takeover.entries import KeyedLookup, Lookup, OwnedRequest, Replica, Waiter
 from lynxreel.takeover.grants import PeerResponses, StartGrants
 from lynxreel.takeover.messages import (
     NONE,
@@ -47,8 +47,8 @@
     UNKNOWN,
     Ack,
     Answer,
+    AnswerKind,
     Done,
-    How,
     Intent,
     LookupRequest,
     LookupResponse,
@@ -59,7 +59,7 @@
     Superseded,
 )
 from lynxreel.takeover.rights import RENEWALS_PER_LEASE, LeaseGrant, LeaseRequest, Leases, Pair, Standing
-from lynxreel.takeover.terms import Class, Terms
+from lynxreel.takeover.terms import ClassSettings, TakeoverSettings
 from mothgap.interface import Effect
 
 # Rounds in which all peers are asked before a request counts as not found: a replica may be in transit.
@@ -73,12 +73,12 @@
 class Work:
     """The takeover state machine of one instance."""
 
-    def __init__(self, settings: Terms, peers: Peers, ranks: Ranks) -> None:
+    def __init__(self, settings: TakeoverSettings, peers: Peers, ranks: Ranks) -> None:
         """The caller updates `peers` before it reports a change of a peer here."""
         self._settings, self._peers, self._ranks = settings, peers, ranks
-        self.owned: dict[bytes, Own] = {}
-        self.replicas: dict[bytes, Kept] = {}
-        self.lookups: dict[int, Asked] = {}
+        self.owned: dict[bytes, OwnedRequest] = {}
+        self.replicas: dict[bytes, Replica] = {}
+        self.lookups: dict[int, Lookup] = {}
         self.replica_bytes = 0  # bytes of replicas
         self.counts = dict.fromkeys(
             ("covered", "uncovered", "taken_over", "told_again", "told_unknown", "stayed", "fenced"), 0
@@ -110,7 +110,7 @@
     def accepted(self, now: int, record: Record, time_left: int, counted: bool, token: int) -> list[Action]:
         """Handles a new request of a client, whose increment, if there is one, has been written."""
         self._actions = []
-        owned = self.owned[record.id] = Own(record, 1, now + time_left, counted, [token])
+        owned = self.owned[record.id] = OwnedRequest(record, 1, now + time_left, counted, [token])
         self._local_waiters[token] = record.id
         self._expire_at(owned.deadline + self._settings.keep, record.id)
         self._choose_keeper(now, owned)
@@ -153,8 +153,8 @@
         if owned.superseded_by:  # the other owner's answer is the valid one
             return []
         harmless = self._class_of(owned.record).effect is Effect.REPEATABLE or not self._may_have_run(owned)
-        if answer.how is How.REFUSED and not harmless:
-            answer = Answer(How.FAILED)  # an earlier owner may have run it
+        if answer.how is AnswerKind.REFUSED and not harmless:
+            answer = Answer(AnswerKind.FAILED)  # an earlier owner may have run it
         for attempt in list(owned.pending_attempts):
             self._remove_pending(owned, attempt)
         if self._may_act(now, owned):
@@ -164,7 +164,7 @@
             self._withheld[request_id] = None
         return self._actions
 
-    def _finish(self, now: int, owned: Own, answer: Answer) -> None:
+    def _finish(self, now: int, owned: OwnedRequest, answer: Answer) -> None:
         owned.answer, owned.withheld = answer, None
         self._withheld.pop(owned.record.id, None)
         if owned.keeper is None:
@@ -172,30 +172,32 @@
             return
         session = self._leases.session(owned.keeper)
         # Taking over a refused request is harmless if it may run twice.
-        deferrable = answer.how is How.REFUSED and self._class_of(owned.record).effect is Effect.REPEATABLE
+        deferrable = (
+            answer.how is AnswerKind.REFUSED and self._class_of(owned.record).effect is Effect.REPEATABLE
+        )
         self._actions.append(
             SendMessage(owned.keeper, Done(owned.record.id, owned.epoch, session, answer), deferrable)
         )
-        if self._needs_ack(owned) and answer.how is How.REFUSED:
+        if self._needs_ack(owned) and answer.how is AnswerKind.REFUSED:
             # A client that is told that nothing ran may send the request anew: the keeper must know first.
             owned.refusal_pending = True
             self._ack_deadlines[(owned.record.id, ANSWER_ACK)] = now + self._settings.wait
         else:
             self._answer_waiters(owned, answer)
 
-    def _conclude_refusal(self, owned: Own, keeper_knows: bool) -> None:
+    def _conclude_refusal(self, owned: OwnedRequest, keeper_knows: bool) -> None:
         """Answers a refused request. A keeper that does not know of the refusal might still run it."""
         if not owned.refusal_pending or owned.answer is None:
             return
         owned.refusal_pending = False
         self._ack_deadlines.pop((owned.record.id, ANSWER_ACK), None)
-        self._answer_waiters(owned, owned.answer if keeper_knows else Answer(How.FAILED))
+        self._answer_waiters(owned, owned.answer if keeper_knows else Answer(AnswerKind.FAILED))
 
-    def _needs_ack(self, owned: Own) -> bool:
+    def _needs_ack(self, owned: OwnedRequest) -> bool:
         """Returns whether attempts and refusals of this request wait for the keeper's acknowledgement."""
         return self._settings.wait_for_ack and self._class_of(owned.record).effect is Effect.ONCE
 
-    def _may_act(self, now: int, owned: Own) -> bool:
+    def _may_act(self, now: int, owned: OwnedRequest) -> bool:
         """Returns whether this instance may do anything about the request that others can see."""
         return owned.keeper is None or self._leases.may_act(now, owned.keeper)
 
@@ -209,7 +211,7 @@
             if entry is None or token not in entry.waiters:
                 continue
             entry.waiters.remove(token)
-            if isinstance(entry, Own) and not entry.waiters and not self._may_have_run(entry):
+            if isinstance(entry, OwnedRequest) and not entry.waiters and not self._may_have_run(entry):
                 self._actions.append(CancelRequest(request_id))
                 earlier_actions = self._actions
                 self._actions = [*earlier_actions, *self.finished(now, request_id, REFUSED)]
@@ -237,18 +239,18 @@
         self._local_waiters.pop(token, None)
         self._actions.append(AnswerClient(token, UNKNOWN if unknown else REFUSED))
 
-    def _remove_pending(self, owned: Own, attempt: int) -> bool:
+    def _remove_pending(self, owned: OwnedRequest, attempt: int) -> bool:
         """Removes an attempt that waits for its acknowledgement; returns whether it was waiting."""
         self._ack_deadlines.pop((owned.record.id, attempt), None)
         owned.acknowledged.discard(attempt)
         return owned.pending_attempts.pop(attempt, None) is not None
 
-    def _class_of(self, record: Record) -> Class:
+    def _class_of(self, record: Record) -> ClassSettings:
         # An unknown class is treated as the strictest effect.
-        return self._settings.classes.get(record.cls, Class(Effect.ONCE))
+        return self._settings.classes.get(record.cls, ClassSettings(Effect.ONCE))
 
     @staticmethod
-    def _first_possible_run(owned: Own) -> int | None:
+    def _first_possible_run(owned: OwnedRequest) -> int | None:
         """Returns when the first attempt that may have run was made, or None."""
         times = [
             *owned.possible_runs.values(),
@@ -256,10 +258,12 @@
         ]
         return min(times) if times else None
 
-    def _may_have_run(self, owned: Own) -> bool:
+    def _may_have_run(self, owned: OwnedRequest) -> bool:
         return self._first_possible_run(owned) is not None
 
-    def _send_intent(self, now: int, owned: Own, attempt: int, box: str, first_run: int | None) -> None:
+    def _send_intent(
+        self, now: int, owned: OwnedRequest, attempt: int, box: str, first_run: int | None
+    ) -> None:
         assert owned.keeper is not None
         sent_ago = 0 if first_run is None else now - first_run
         timeout = max(0, owned.attempt_deadlines.get(attempt, now) - now)
@@ -270,7 +274,7 @@
             )
         )
 
-    def _choose_keeper(self, now: int, owned: Own) -> None:
+    def _choose_keeper(self, now: int, owned: OwnedRequest) -> None:
         """Chooses a keeper among the instances that are up and sends it a replica."""
         up = [n for n in self._peers.up() if n not in owned.full_keepers and self._leases.may_act(now, n)]
         owned.keeper = self._ranks.keeper(owned.record.id, self._settings.name, up)
@@ -285,7 +289,7 @@
         self.counts["covered"] += 1
         self._send_replica(now, owned)
 
-    def _send_replica(self, now: int, owned: Own) -> None:
+    def _send_replica(self, now: int, owned: OwnedRequest) -> None:
         """Sends the whole state of a request to its keeper, with the attempts that wait for it."""
         assert owned.keeper is not None
         once = self._class_of(owned.record).effect is Effect.ONCE
@@ -299,7 +303,7 @@
         for attempt, box in owned.pending_attempts.items():
             self._send_intent(now, owned, attempt, box, first_run)
 
-    def _allow_attempts(self, now: int, owned: Own) -> None:
+    def _allow_attempts(self, now: int, owned: OwnedRequest) -> None:
         """Allows the attempts that may be sent: where nobody has a replica, nobody else can take over."""
         if not self._may_act(now, owned):
             return
@@ -336,12 +340,12 @@
         """
         self._actions = []
         if not self._attach_waiter(now, token, request_id, customer, mark):
-            lookup = Sought(request_id, customer, effect, {}, mark=mark)
+            lookup = KeyedLookup(request_id, customer, effect, {}, mark=mark)
             self.lookups[token], self._local_waiters[token] = lookup, request_id
             self._start_keyed_lookup(now, token, lookup)
         return self._actions
 
-    def _start_keyed_lookup(self, now: int, token: int, lookup: Sought) -> None:
+    def _start_keyed_lookup(self, now: int, token: int, lookup: KeyedLookup) -> None:
         """Starts the lookup from the beginning: asks the likely keepers."""
         if self._coordinator(lookup.id) == self._settings.name:
             if self._start_grants.held_by_other(now, lookup.id, self._settings.name):
@@ -370,7 +374,7 @@
         if self._start_grants.grant(now, request_id, asker):
             self._expire_at(now + self._settings.keep, request_id)
 
-    def _continue_keyed_lookup(self, now: int, token: int, lookup: Sought) -> None:
+    def _continue_keyed_lookup(self, now: int, token: int, lookup: KeyedLookup) -> None:
         """Continues a lookup after a timeout: the request may be here by now; silent peers are dropped."""
         if self._attach_waiter(now, token, lookup.id, lookup.customer, lookup.mark):
             del self.lookups[token]
@@ -388,9 +392,9 @@
         if not self._attach_waiter(now, token, request_id, customer):
             self._send_lookup(now, token, self._add_lookup(token, request_id, customer, effect))
 
-    def _add_lookup(self, token: int, request_id: bytes, customer: int, effect: Effect) -> Asked:
+    def _add_lookup(self, token: int, request_id: bytes, customer: int, effect: Effect) -> Lookup:
         """Adds a lookup at the likely keepers for a request that is not held here."""
-        lookup = self.lookups[token] = Asked(request_id, customer, effect, self._likely_keepers(request_id))
+        lookup = self.lookups[token] = Lookup(request_id, customer, effect, self._likely_keepers(request_id))
         self._local_waiters[token] = request_id
         return lookup
 
@@ -399,10 +403,10 @@
         dead = [name for name, peer in self._peers.peers.items() if peer.state is State.DEAD]
         return {name: True for name in self._ranks.likely(request_id, dead) if name != self._settings.name}
 
-    def _send_lookup(self, now: int, token: int, lookup: Asked) -> None:
+    def _send_lookup(self, now: int, token: int, lookup: Lookup) -> None:
         """Sends the lookup to each peer whose response is awaited, and concludes it if there is none."""
         lookup.retry_at = now + RETRY_INTERVAL
-        seeks = isinstance(lookup, Sought)
+        seeks = isinstance(lookup, KeyedLookup)
         coordinator = self._coordinator(lookup.id) if seeks else ""
         for name in lookup.awaiting:
             if self._peers.peers[name].state is State.DEAD:
@@ -411,7 +415,7 @@
                 last = not seeks and lookup.round >= LOOKUP_ROUNDS
                 query = token, lookup.id, lookup.customer, lookup.round, last, lookup.mark
                 self._actions.append(SendMessage(name, LookupRequest(*query, seeks, name == coordinator)))
-        if isinstance(lookup, Sought):
+        if isinstance(lookup, KeyedLookup):
             awaited = [
                 name
                 for name, is_awaited in lookup.awaiting.items()
@@ -420,14 +424,14 @@
             lookup.retry_at = min([lookup.retry_at, *[lookup.response_deadlines[name] for name in awaited]])
         self._conclude_lookup(now, token, lookup)
 
-    def _conclude_lookup(self, now: int, token: int, lookup: Asked) -> None:
+    def _conclude_lookup(self, now: int, token: int, lookup: Lookup) -> None:
         """Concludes a lookup, or starts its next round, once no response is awaited any more."""
         if lookup.paused or any(lookup.awaiting.values()):
             return
         if self._attach_waiter(now, token, lookup.id, lookup.customer, lookup.mark):
             del self.lookups[token]  # a replica has arrived in the meantime
             return
-        if isinstance(lookup, Sought):
+        if isinstance(lookup, KeyedLookup):
             self._start_request(token)
             return
         if lookup.round < LOOKUP_ROUNDS:
@@ -457,7 +461,7 @@
         if mark and entry.record.mark and mark != entry.record.mark:
             self._answer_waiter(waiter, OTHER)
             return True
-        if entry.answer is not None and not (isinstance(entry, Own) and entry.refusal_pending):
+        if entry.answer is not None and not (isinstance(entry, OwnedRequest) and entry.refusal_pending):
             self.counts["told_again"] += 1
             self._answer_waiter(waiter, entry.answer)
             return True
@@ -465,12 +469,12 @@
             entry.waiters.append(waiter)
             if isinstance(waiter, int):
                 self._local_waiters[waiter] = request_id
-        if isinstance(entry, Kept):
+        if isinstance(entry, Replica):
             self._awaited_replicas[request_id] = None
             self._try_takeover(now, entry)
         return True
 
-    def _try_takeover(self, now: int, replica: Kept) -> None:
+    def _try_takeover(self, now: int, replica: Replica) -> None:
         """Takes over a replica that somebody waits for, if this instance may."""
         owner, dead = (
             (replica.owner, replica.owner_incarnation),
@@ -492,7 +496,7 @@
             case Standing.WAIT:
                 pass
 
-    def _discard_replica(self, now: int, replica: Kept) -> None:
+    def _discard_replica(self, now: int, replica: Replica) -> None:
         """Removes a replica that its owner has placed elsewhere, and sends its waiters there."""
         self._remove_replica(replica)
         self._redirect_waiters(now, replica.record, replica.waiters)
@@ -507,7 +511,7 @@
                 # Its instance repeats the lookup by itself.
                 self._actions.append(SendMessage(waiter[0], LookupResponse(waiter[1], -1, NONE)))
 
-    def _answer_waiters(self, entry: Own | Kept, answer: Answer) -> None:
+    def _answer_waiters(self, entry: OwnedRequest | Replica, answer: Answer) -> None:
         waiters, entry.waiters = entry.waiters, []
         for waiter in waiters:
             self._answer_waiter(waiter, answer)
@@ -519,7 +523,7 @@
         else:
             self._actions.append(SendMessage(waiter[0], LookupResponse(waiter[1], 0, answer)))
 
-    def _take_over(self, now: int, replica: Kept, dead: bool) -> None:
+    def _take_over(self, now: int, replica: Replica, dead: bool) -> None:
         """Takes a request over from its failed owner."""
         owned, record = self._become_owner(replica), replica.record
         if owned.answer is None and (final := self._terminal_answer(now, owned)) is not None:
@@ -544,10 +548,10 @@
                 ResumeRequest(record, owned.deadline - now, owned.counted, self._may_have_run(owned))
             )
 
-    def _become_owner(self, replica: Kept) -> Own:
+    def _become_owner(self, replica: Replica) -> OwnedRequest:
         """Makes this instance the owner of a request that it kept as a replica."""
         self._remove_replica(replica)
-        owned = Own(
+        owned = OwnedRequest(
             replica.record,
             replica.epoch + 1,
             replica.deadline,
@@ -572,7 +576,7 @@
                 self._choose_keeper(now, self._become_owner(replica))
         return self._actions
 
-    def _terminal_answer(self, now: int, owned: Own) -> Answer | None:
+    def _terminal_answer(self, now: int, owned: OwnedRequest) -> Answer | None:
         """Returns the answer of a request that must not run any more, or None if it may."""
         cls, first_run = self._class_of(owned.record), self._first_possible_run(owned)
         if first_run is not None:
@@ -581,7 +585,9 @@
             if cls.effect is Effect.KEYED and now - first_run + KEY_MEMORY_MARGIN >= cls.key_memory:
                 return UNKNOWN
         if owned.deadline <= now:
-            return REFUSED if first_run is None or cls.effect is Effect.REPEATABLE else Answer(How.FAILED)
+            return (
+                REFUSED if first_run is None or cls.effect is Effect.REPEATABLE else Answer(AnswerKind.FAILED)
+            )
         return None
 
     # --- messages of other instances --------------------------------------------------------------------
@@ -650,13 +656,13 @@
             self._report_missing(now, request.id)
         self._actions.append(SendMessage(sender, LookupResponse(request.token, request.round, NONE)))
 
-    def _owned_at(self, keeper: str, request_id: bytes, epoch: int) -> Own | None:
+    def _owned_at(self, keeper: str, request_id: bytes, epoch: int) -> OwnedRequest | None:
         owned = self.owned.get(request_id)
         return owned if owned is not None and owned.keeper == keeper and owned.epoch == epoch else None
 
     def _find_replica(
         self, now: int, sender: str, incarnation: int, request_id: bytes, epoch: int, session: int
-    ) -> tuple[bool, Kept | None]:
+    ) -> tuple[bool, Replica | None]:
         """Returns the replica that a message is about.
 
         The flag is False if the request has another owner by now, who has then been reported to the sender,
@@ -718,7 +724,7 @@
                 self._reject_replica(now, sender, incarnation, request_id, put.epoch)
                 return
             origin, deadline = (sender, incarnation, put.session), now + put.time_left
-            replica = Kept(put.record, put.epoch, *origin, deadline, put.counted, sent_at, None, size)
+            replica = Replica(put.record, put.epoch, *origin, deadline, put.counted, sent_at, None, size)
             replica.waiters = previous.waiters if previous is not None else []
             self.replicas[request_id] = replica
             self.replica_bytes += size
@@ -728,7 +734,7 @@
             replica.sent_at = sent_at if replica.sent_at is None else min(sent_at, replica.sent_at)
         if put.answer is not None:
             self._set_answer(replica, put.answer)
-            if put.answer.how is How.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
+            if put.answer.how is AnswerKind.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
                 self._actions.append(SendMessage(sender, Ack(request_id, put.epoch, ANSWER_ACK)))
 
     def _on_intent(self, now: int, sender: str, incarnation: int, intent: Intent) -> None:
@@ -761,10 +767,10 @@
         _, replica = self._find_replica(now, sender, incarnation, done.id, done.epoch, done.session)
         if replica is not None:
             self._set_answer(replica, done.answer)
-            if done.answer.how is How.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
+            if done.answer.how is AnswerKind.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
                 self._actions.append(SendMessage(sender, Ack(done.id, done.epoch, ANSWER_ACK)))
 
-    def _set_answer(self, replica: Kept, answer: Answer) -> None:
+    def _set_answer(self, replica: Replica, answer: Answer) -> None:
         if replica.answer is None:
             replica.answer = answer
             replica.size += len(answer.value)
@@ -777,7 +783,7 @@
         if owned is not None and owned.epoch < superseded.epoch and not owned.superseded_by:
             self._lose_ownership(now, owned, superseded.epoch)
 
-    def _lose_ownership(self, now: int, owned: Own, epoch: int) -> None:
+    def _lose_ownership(self, now: int, owned: OwnedRequest, epoch: int) -> None:
         """Gives up a request that has another owner: the clients that wait here look it up like any other."""
         if owned.superseded_by:
             owned.superseded_by = max(owned.superseded_by, epoch)
@@ -880,17 +886,17 @@
         lookup = self.lookups.get(response.token)
         if lookup is None:
             return
-        if response.answer.how is How.PENDING:
+        if response.answer.how is AnswerKind.PENDING:
             is_awaited = lookup.awaiting.get(sender, False) and response.round == lookup.round
-            if isinstance(lookup, Sought) and is_awaited:
+            if isinstance(lookup, KeyedLookup) and is_awaited:
                 lookup.in_progress_at.add(sender)
             return
-        if response.answer.how is not How.NONE:
+        if response.answer.how is not AnswerKind.NONE:
             del self.lookups[response.token]
             self._answer_waiter(response.token, response.answer)
         elif lookup.awaiting.get(sender) and response.round == lookup.round:
             lookup.awaiting[sender] = False
-            if isinstance(lookup, Sought):
+            if isinstance(lookup, KeyedLookup):
                 lookup.in_progress_at.discard(sender)
             self._conclude_lookup(now, response.token, lookup)
 
@@ -919,7 +925,7 @@
         else:
             self._choose_missing_keepers(now)
         for token, lookup in list(self.lookups.items()):
-            if isinstance(lookup, Sought) and isinstance(change, Dead):
+            if isinstance(lookup, KeyedLookup) and isinstance(change, Dead):
                 self._start_keyed_lookup(now, token, lookup)  # the likely keepers have changed
             elif change.name in lookup.awaiting:
                 self._send_lookup(now, token, lookup)
@@ -929,7 +935,7 @@
         """Takes over what clients wait for; waiters of dead instances are removed."""
         self._leases.peer_died(now, dead.name, dead.incarnation)
         self._start_grants.peer_died(dead.name)
-        entries: list[Own | Kept] = [*self.owned.values(), *self.replicas.values()]
+        entries: list[OwnedRequest | Replica] = [*self.owned.values(), *self.replicas.values()]
         for entry in entries:
             if any(isinstance(waiter, tuple) and waiter[0] == dead.name for waiter in entry.waiters):
                 entry.waiters = [w for w in entry.waiters if isinstance(w, int) or w[0] != dead.name]
@@ -981,7 +987,7 @@
                 )
         return rows
 
-    def _stage(self, owned: Own) -> str:
+    def _stage(self, owned: OwnedRequest) -> str:
         if owned.withheld is not None:
             return "answered, and not this instance's to tell"
         if owned.pending_attempts:
@@ -1011,7 +1017,7 @@
             self.counts["stayed"] += 1
             self._actions.append(DenyAttempt(request_id, attempt))
         for token, lookup in list(self.lookups.items()):
-            if lookup.retry_at <= now and isinstance(lookup, Sought):
+            if lookup.retry_at <= now and isinstance(lookup, KeyedLookup):
                 self._continue_keyed_lookup(now, token, lookup)
             elif lookup.retry_at <= now:
                 if lookup.paused:
@@ -1061,7 +1067,7 @@
         if replica is not None and replica.deadline + self._settings.keep <= now:
             self._remove_replica(replica)
 
-    def _remove_replica(self, replica: Kept) -> None:
+    def _remove_replica(self, replica: Replica) -> None:
         del self.replicas[replica.record.id]
         self._awaited_replicas.pop(replica.record.id, None)
         self.replica_bytes -= replica.size
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -23,9 +23,9 @@
 )
 from lynxreel.takeover import work as core
 from lynxreel.takeover.actions import ResumeRequest
-from lynxreel.takeover.entries import Own
+from lynxreel.takeover.entries import OwnedRequest
 from lynxreel.takeover.grants import StartGrants
-from lynxreel.takeover.messages import NONE, How, Record
+from lynxreel.takeover.messages import NONE, AnswerKind, Record
 from lynxreel.takeover.rights import Leases, Standing
 from lynxreel.takeover.work import Work
 
@@ -82,13 +82,13 @@
     take(made, ("come", made.comes.index((0, other))))
     while b"r0" not in made.told:
         take(made, ("hear", 0) if made.flying else ("tick",))
-    assert made.told[b"r0"] == [How.UNKNOWN]
+    assert made.told[b"r0"] == [AnswerKind.UNKNOWN]
     made.flying.append(late)
     take(made, ("hear", 0))
     take(made, ("come", made.comes.index((0, keeper))))
     while len(made.told[b"r0"]) < 2:
         take(made, ("hear", 0) if made.flying else ("tick",))
-    assert made.told[b"r0"] == [How.UNKNOWN] * 2
+    assert made.told[b"r0"] == [AnswerKind.UNKNOWN] * 2
     assert not made.runs and not any(instance.engine for instance in made.instances) and broken(made) == ""
 
 
@@ -102,7 +102,7 @@
     """An attempt is sent before the keeper has acknowledged its intent."""
     original: Callable[..., Any] = Work._allow_attempts
 
-    def allow_attempts(self: Work, now: int, owned: Own) -> None:
+    def allow_attempts(self: Work, now: int, owned: OwnedRequest) -> None:
         owned.acknowledged.update(owned.pending_attempts)
         original(self, now, owned)
 
--- a/tests/test_zone_faults.py
+++ b/tests/test_zone_faults.py
@@ -15,7 +15,7 @@
 from lynxreel.local.by_etcd import listed
 from lynxreel.local.deployment import Gateway
 from lynxreel.standins.faults import Fault, Kind
-from lynxreel.takeover.messages import KINDS
+from lynxreel.takeover.messages import MESSAGE_TYPES
 from lynxreel.zones.evidence import Verdict
 from lynxreel.zones.member import Told
 from lynxreel.zones.word import Report, Stage, Word, Zone
@@ -139,7 +139,7 @@
             ]
             life = next_incarnation(tmp_path / own.name)
             mesh = Mesh(own, life, others, asyncio.get_running_loop())
-            mesh.join((Report, Told, *KINDS), lambda *_: None, lambda _: None)
+            mesh.join((Report, Told, *MESSAGE_TYPES), lambda *_: None, lambda _: None)
             await mesh.open()
             lie = Word(7, "g0", {zone: Zone(Stage.AWAY, 0, 7) for zone in ZONES})
 
