--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -22,7 +22,7 @@
     from lynxreel.sources.etcd import EtcdList
     from lynxreel.sources.files import FileList
     from lynxreel.links.mesh import Plan as LinksPlan
-    from lynxreel.takeover.cover import Plan as TakeoverPlan
+    from lynxreel.takeover.cover import TakeoverPlan
     from lynxreel.zones.shell import Plan as ZonesPlan
 
 MS = 1_000  # microseconds
@@ -212,14 +212,14 @@
     """Who keeps work in hand; nothing where the file does not ask for it."""
     if (entry := file.takeover) is None:
         return None
-    from lynxreel.takeover.cover import Plan  # here: only where it is configured
+    from lynxreel.takeover.cover import TakeoverPlan  # here: only where it is configured
 
     word = None
     if entry.word and file.boxes.etcd is not None:
-        from lynxreel.takeover.word import Word
+        from lynxreel.takeover.word import DecisionConfig
 
-        word = Word(etcd_options(file.boxes.etcd), f"{file.boxes.etcd.prefix}takeover/")
-    return Plan(
+        word = DecisionConfig(etcd_options(file.boxes.etcd), f"{file.boxes.etcd.prefix}takeover/")
+    return TakeoverPlan(
         entry.entries,
         int(entry.most_mb * 1e6),
         entry.wait_ms * MS,
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -140,7 +140,7 @@
             answers: Commands = {"customer": self._customer, "boxes": self._boxes, "approve": self._approve}
             answers |= {"call": lambda asked: self.call(str(asked["line"]).encode()).decode().strip()}
             if (cover := self.node.cover) is not None:
-                answers["work"] = lambda asked: cover.listed()
+                answers["work"] = lambda asked: cover.status_with_requests()
             if (zones := self.node.zones) is not None:
                 answers["zones"] = lambda asked: zones.told()
                 answers["zone"] = lambda asked: zones.order(asked["zone"], asked["order"], asked["dry"])
@@ -337,7 +337,7 @@
         if (guard := self.node.guard) is not None:
             told["counter"] = guard.told()
         if self.node.cover is not None:
-            told["takeover"] = self.node.cover.told()
+            told["takeover"] = self.node.cover.status()
         if self.node.zones is not None:
             told["zones"] = self.node.zones.told()
         if self._file.boxes.etcd is not None:
@@ -382,7 +382,7 @@
         counts["stood_ms"] = round(self._stood * 1e3)
         counts["internal_errors"] = internal_errors.count
         if self.node.cover is not None:
-            counts["work"] = self.node.cover.since()
+            counts["work"] = self.node.cover.counts_since_last()
         self._record("counts", counts)
         return True
 
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -38,8 +38,8 @@
     from lynxreel.metering.guarded import Guarded
     from lynxreel.sources.etcd import EtcdList, EtcdSource
     from lynxreel.sources.files import FileList, WatchedFile
-    from lynxreel.takeover.cover import Cover
-    from lynxreel.takeover.cover import Plan as TakeoverPlan
+    from lynxreel.takeover.cover import TakeoverService
+    from lynxreel.takeover.cover import TakeoverPlan
     from lynxreel.zones.shell import Plan as ZonesPlan
     from lynxreel.zones.shell import Zones
 
@@ -121,12 +121,12 @@
         self.guard: Guarded | None = None
         self._count(deployment)
         self.mesh: Mesh | None = deployment.links.mesh(loop) if deployment.links is not None else None
-        self.cover: Cover | None = None
+        self.cover: TakeoverService | None = None
         if deployment.takeover is not None and self.mesh is not None:
-            from lynxreel.takeover.cover import Cover  # here: only where it is configured
+            from lynxreel.takeover.cover import TakeoverService  # here: only where it is configured
 
-            self.cover = Cover(deployment.takeover, self.engine, self.servers, self.mesh, loop)
-            self.cover.adopt(settings, deployment.places)
+            self.cover = TakeoverService(deployment.takeover, self.engine, self.servers, self.mesh, loop)
+            self.cover.apply_settings(settings, deployment.places)
         self.zones: Zones | None = None
         if deployment.zones is not None and self.mesh is not None:
             from lynxreel.zones.shell import Zones  # here: only where it is configured
@@ -365,7 +365,7 @@
             self.engine.adopt(settings)
             self.servers.adopt(settings, names.idle, servers)
             if self.cover is not None:
-                self.cover.adopt(settings, deployment.places)
+                self.cover.apply_settings(settings, deployment.places)
             self.clients.adopt(self._terms(deployment), clients)
             if self.web is not None and deployment.http is not None:
                 self.web.adopt(deployment.http.serving)
@@ -421,7 +421,7 @@
             fronts.append(self.web.drain(times))
         await asyncio.gather(*fronts)
         if self.cover is not None:
-            await self.cover.leave()
+            await self.cover.hand_off()
 
     def boxes(self) -> dict[str, object]:
         """What is believed of the servers and why, for the operators."""
--- a/lynxreel/standins/interleavings.py
+++ b/lynxreel/standins/interleavings.py
@@ -1,4 +1,4 @@
-"""All orders in which few instances can hear, lose, die, stop and go on: `Work` itself under each of them.
+"""All orders in which few instances can hear, lose, die, stop and go on: `TakeoverCore` itself under each of them.
 
 A world is three instances, their peers' views, messages and attempts under way, one box, clients and a
 clock. A step is one thing that may happen next. Worlds are walked depth first and remembered by a digest of
@@ -37,9 +37,9 @@
 from lynxreel.takeover.entries import KeyedLookup, Lookup, OwnedRequest, Replica
 from lynxreel.takeover.grants import _Grant
 from lynxreel.takeover.messages import Answer, AnswerKind, Message, Record
-from lynxreel.takeover.rights import Pair, _Given, _Held
+from lynxreel.takeover.rights import Pair, _LeaseFromKeeper, _LeaseToOwner
 from lynxreel.takeover.terms import ClassSettings, TakeoverSettings
-from lynxreel.takeover.work import Work
+from lynxreel.takeover.work import TakeoverCore
 from mothgap.interface import Effect
 
 NAMES = ("a", "b", "c")
@@ -75,7 +75,7 @@
 
     name: str
     life: int
-    work: Work
+    work: TakeoverCore
     peers: Peers
     alive: bool = True
     stopped: bool = False
@@ -132,13 +132,15 @@
     own, request = made.instances[number], made.waiting[token]
     record = Record(request, 7, _class_of(made, request), "p", 1.0, 1, 0, (b"x",))
     own.engine[request] = 0
-    _act(made, number, own.work.accepted(made.now, record, LEFT, True, token))
+    _act(made, number, own.work.request_accepted(made.now, record, LEFT, True, token))
 
 
 def _seek(made: World, number: int, token: int) -> None:
     """A client uses a key here."""
     request = made.waiting[token]
-    _act(made, number, made.instances[number].work.seek(made.now, token, request, 7, Effect.KEYED, b""))
+    _act(
+        made, number, made.instances[number].work.look_up_key(made.now, token, request, 7, Effect.KEYED, b"")
+    )
 
 
 def _class_of(made: World, request: bytes) -> str:
@@ -147,7 +149,9 @@
 
 def _born(number: int, life: int, lease: int) -> Instance:
     peers = Peers(name for name in NAMES if name != NAMES[number])
-    return Instance(NAMES[number], life, Work(_terms(NAMES[number], lease, life), peers, RANKS), peers)
+    return Instance(
+        NAMES[number], life, TakeoverCore(_terms(NAMES[number], lease, life), peers, RANKS), peers
+    )
 
 
 def _meet(made: World, number: int) -> None:
@@ -160,14 +164,14 @@
             known, news = here.peers.linked(there.name, there.life)
             assert known
             for item in news:
-                _act(made, at, here.work.news(made.now, item))
+                _act(made, at, here.work.peer_changed(made.now, item))
 
 
 def _calm(made: World) -> None:
     """Let what the start has said arrive."""
     while made.flying:
         sender, life, to, message = made.flying.pop(0)
-        _act(made, to, made.instances[to].work.heard(made.now, NAMES[sender], life, message))
+        _act(made, to, made.instances[to].work.message_received(made.now, NAMES[sender], life, message))
 
 
 def _act(made: World, number: int, actions: list[Action]) -> None:
@@ -184,8 +188,12 @@
             case DenyAttempt():
                 if action.id in own.engine:  # the module gives up
                     del own.engine[action.id]
-                    own.work.missed(action.id, action.attempt)
-                    _act(made, number, own.work.finished(made.now, action.id, Answer(AnswerKind.REFUSED)))
+                    own.work.attempt_never_ran(action.id, action.attempt)
+                    _act(
+                        made,
+                        number,
+                        own.work.request_finished(made.now, action.id, Answer(AnswerKind.REFUSED)),
+                    )
             case ResumeRequest():
                 own.engine[action.record.id] = 0
                 if not action.counted:
@@ -255,7 +263,7 @@
 def _next_tick(made: World) -> int:
     """When the next thing is due."""
     awake = [own for own in made.instances if own.alive and not own.stopped]
-    due = [due for own in awake if (due := own.work.due()) is not None]
+    due = [due for own in awake if (due := own.work.next_tick()) is not None]
     return max(made.now + 1, min(due, default=0))
 
 
@@ -269,14 +277,14 @@
             sender, life, to, message = flight
             own = made.instances[to]
             if own.alive:
-                _act(made, to, own.work.heard(now, NAMES[sender], life, message))
+                _act(made, to, own.work.message_received(now, NAMES[sender], life, message))
         case ("lose", place):
             budget.lost -= 1
             made.flying.pop(place)
         case ("decide", number, request):
             own = made.instances[number]
             own.engine[request] = 1
-            _act(made, number, own.work.intends(now, request, 0, "box", LEFT // 4))
+            _act(made, number, own.work.attempt_announced(now, request, 0, "box", LEFT // 4))
         case ("die", number):
             budget.deaths -= 1
             made.died += 1
@@ -310,19 +318,19 @@
             own = made.instances[to]
             if own.alive and own.life == life and number in own.engine:
                 del own.engine[number]
-                _act(made, to, own.work.finished(now, number, Answer(AnswerKind.SERVED, b"v")))
+                _act(made, to, own.work.request_finished(now, number, Answer(AnswerKind.SERVED, b"v")))
         case ("learn", place):
             to, dead = made.news.pop(place)
             own = made.instances[to]
             if own.alive:
                 for item in own.peers.refused(dead.name, dead.incarnation):
-                    _act(made, to, own.work.news(now, item))
+                    _act(made, to, own.work.peer_changed(now, item))
         case ("word", place):
             number, life, pair, owner = made.asking.pop(place)
             stands = made.words.setdefault(pair, owner)
             own = made.instances[number]
             if own.alive and own.life == life:
-                _act(made, number, own.work.word(now, pair, stands))
+                _act(made, number, own.work.decision_received(now, pair, stands))
         case ("come", place):
             request, at = made.comes.pop(place)
             token, own = 100 + 10 * request + at, made.instances[at]
@@ -331,7 +339,7 @@
             if cls == "keyed":
                 _seek(made, at, token)
             else:
-                _act(made, at, own.work.back(now, token, b"r%d" % request, 7, CLASSES[cls].effect))
+                _act(made, at, own.work.client_returned(now, token, b"r%d" % request, 7, CLASSES[cls].effect))
         case ("tick",):
             budget.ticks -= 1
             awake = [i for i in made.instances if i.alive and not i.stopped]
@@ -394,8 +402,8 @@
     Lookup,
     KeyedLookup,
     Peer,
-    _Held,
-    _Given,
+    _LeaseFromKeeper,
+    _LeaseToOwner,
     _Grant,
     Pair,
 )
--- a/lynxreel/takeover/calls.py
+++ b/lynxreel/takeover/calls.py
@@ -14,7 +14,7 @@
     from lynxreel.protocol.exchange import Exchange
 
 
-class Covered:
+class OwnedCall:
     """A request that this instance owns. `ended` is called with its answer and the value as received."""
 
     __slots__ = ("accepted", "cls", "counted", "customer", "ended", "first", "id", "inner", "mark", "is_over",
@@ -23,7 +23,7 @@
     back = seeks = False
 
     def __init__(
-        self, inner: Call | None, ended: Callable[[Covered, Answer, bytes | Stream], None], token: int
+        self, inner: Call | None, ended: Callable[[OwnedCall, Answer, bytes | Stream], None], token: int
     ) -> None:
         """`inner`: the client's call, `token`: its number; None and 0 for another instance's request."""
         self.inner, self.ended, self.token = inner, ended, token
@@ -50,8 +50,8 @@
         patience: int,
         counted: bool,
         sent: bool,
-        ended: Callable[[Covered, Answer, bytes | Stream], None],
-    ) -> Covered:
+        ended: Callable[[OwnedCall, Answer, bytes | Stream], None],
+    ) -> OwnedCall:
         """Makes a request that had another owner. `places`: its class and plan; `patience`: milliseconds."""
         resumed = cls(None, ended, 0)
         resumed.id, resumed.customer, resumed.units = record.id, record.customer, record.units
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -25,22 +25,22 @@
     SendMessage,
     StartRequest,
 )
-from lynxreel.takeover.calls import Covered, answer_call
+from lynxreel.takeover.calls import OwnedCall, answer_call
 from lynxreel.takeover.messages import MESSAGE_TYPES, Answer, AnswerKind, Record
 from lynxreel.takeover.terms import ClassSettings, TakeoverSettings
-from lynxreel.takeover.work import Work
+from lynxreel.takeover.work import TakeoverCore
 from mothgap.interface import Effect, Result, Settings
 
 if TYPE_CHECKING:
     from lynxreel.backends.pools import Servers
     from lynxreel.relay.stream import Stream
-    from lynxreel.takeover.word import Store, Word
+    from lynxreel.takeover.word import DecisionConfig, DecisionStore
 
 SHUTDOWN_WRITE_TIMEOUT = 0.5  # seconds that a shutdown waits until its messages are written
 
 
 @dataclass(frozen=True)
-class Plan:
+class TakeoverPlan:
     """Takeover settings of an instance; times in microseconds."""
 
     max_replicas: int
@@ -48,20 +48,25 @@
     ack_timeout: int
     retention: int
     wait_for_ack: bool
-    decisions: Word | None  # decides who resumes if an owner and its keeper can't reach each other
+    decisions: DecisionConfig | None  # decides who resumes if an owner and its keeper can't reach each other
     lease: int
     max_drift: float
     parallel_attempts: bool  # two attempts of a request may run at the same time
     longest_deadline: int  # the longest deadline of all classes
 
 
-class Cover:
+class TakeoverService:
     """The takeover service of one instance: its in-flight requests and the replicas that it keeps."""
 
     def __init__(
-        self, plan: Plan, engine: Engine, servers: Servers, mesh: Mesh, loop: asyncio.AbstractEventLoop
+        self,
+        plan: TakeoverPlan,
+        engine: Engine,
+        servers: Servers,
+        mesh: Mesh,
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """`adopt` has to be called before anything else."""
+        """`apply_settings` has to be called before anything else."""
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
         engine.backend, engine.watch = self, self
         servers.may, self.mesh = self._may_send, mesh
@@ -70,12 +75,12 @@
         zones = {place.name: place.zone for place in places}
         hosts = {place.name: place.host or place.name for place in places}
         self._classes: dict[str, ClassSettings] = {}
-        self._store: Store | None = None
+        self._store: DecisionStore | None = None
         if plan.decisions is not None:
             # Imported here: it needs a library that is not needed otherwise.
-            from lynxreel.takeover.word import Store
+            from lynxreel.takeover.word import DecisionStore
 
-            self._store = Store(plan.decisions, plan.retention + plan.longest_deadline)
+            self._store = DecisionStore(plan.decisions, plan.retention + plan.longest_deadline)
         self._decision_tasks: set[asyncio.Task[None]] = set()
         terms = TakeoverSettings(
             name=mesh.own.name,
@@ -90,13 +95,13 @@
             parallel_attempts=plan.parallel_attempts,
             incarnation=mesh.incarnation,
         )
-        self.work = Work(terms, self.mesh.peers, Ranks(zones, hosts))
+        self.core = TakeoverCore(terms, self.mesh.peers, Ranks(zones, hosts))
         self._tokens = itertools.count(1)
         self._calls: dict[int, Call] = {}  # clients that wait here, by token
         self._timers: dict[int, asyncio.TimerHandle] = {}  # of clients that returned
-        self._unreplicated: dict[int, Covered] = {}  # requests that have not been replicated yet, by token
-        self._covered: dict[int, Covered] = {}  # by the engine's number of the request
-        self._by_id: dict[bytes, Covered] = {}
+        self._unreplicated: dict[int, OwnedCall] = {}  # requests that have not been replicated yet, by token
+        self._covered: dict[int, OwnedCall] = {}  # by the engine's number of the request
+        self._by_id: dict[bytes, OwnedCall] = {}
         self._expired_keepers: frozenset[str] = frozenset()  # at the last check
         self._unsure: set[int] = set()  # requests that could not be acted on at the last check
         # Requests that have ended since then, and could not be acted on when they did.
@@ -107,9 +112,9 @@
         self._next_tick: int | None = None
         # Writes to the operators' records.
         self.note: Callable[[str, dict[str, Any]], None] = lambda kind, content: None
-        self._reported_counts = dict(self.work.counts)
+        self._reported_counts = dict(self.core.counts)
 
-    def adopt(self, settings: Settings, places: tuple[Mapping[str, int], Mapping[str, int]]) -> None:
+    def apply_settings(self, settings: Settings, places: tuple[Mapping[str, int], Mapping[str, int]]) -> None:
         """Applies these settings from now on; `places` are the numbers of classes and plans by name."""
         self._settings = settings
         self._places = places
@@ -118,9 +123,9 @@
             cls = settings.classes[number]
             self._classes[name] = ClassSettings(cls.effect, cls.key_memory)
 
-    async def leave(self) -> None:
+    async def hand_off(self) -> None:
         """Moves replicas of failed owners to other instances; called at shutdown, with no answer pending."""
-        self._perform(self.work.hand_off(self._now()))
+        self._perform(self.core.hand_off(self._now()))
         await self.mesh.written(SHUTDOWN_WRITE_TIMEOUT)
 
     def close(self) -> None:
@@ -134,23 +139,23 @@
         if self._store is not None:
             self._store.close()
 
-    def told(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """Returns the state of takeovers for operators."""
         links, incarnation = dict(self.mesh.counts), self.mesh.incarnation
-        return {**self.work.status(self._now()), "links": links, "incarnation": incarnation}
+        return {**self.core.status(self._now()), "links": links, "incarnation": incarnation}
 
-    def since(self) -> dict[str, int]:
+    def counts_since_last(self) -> dict[str, int]:
         """Returns how far each count has grown since the last call, without those that have not."""
-        previous, self._reported_counts = self._reported_counts, dict(self.work.counts)
+        previous, self._reported_counts = self._reported_counts, dict(self.core.counts)
         return {
             name: count - previous[name]
             for name, count in self._reported_counts.items()
             if count != previous[name]
         }
 
-    def listed(self) -> dict[str, object]:
+    def status_with_requests(self) -> dict[str, object]:
         """Returns the state for operators with a row for each open request."""
-        return {**self.told(), "requests": self.work.open_requests(self._now())}
+        return {**self.status(), "requests": self.core.open_requests(self._now())}
 
     def _now(self) -> int:
         """Returns monotonic time in microseconds, independent of changes of the system clock."""
@@ -169,7 +174,7 @@
 
     def _start_request(self, token: int, call: Call, patience: int) -> bool:
         """Takes a new request; its client waits for `patience` ms. Returns False if its id is in use."""
-        covered = Covered(call, self._ended, token)
+        covered = OwnedCall(call, self._ended, token)
         covered.patience = patience
         covered.request = self._engine.submit(covered)
         if not covered.request:
@@ -197,7 +202,7 @@
             self._engine.gone(covered.request)
             self._covered.pop(covered.request)
         else:
-            self._perform(self.work.client_disconnected(self._now(), token))
+            self._perform(self.core.client_disconnected(self._now(), token))
 
     def _look_up(self, token: int, call: Call) -> None:
         if token not in self._calls:
@@ -206,13 +211,15 @@
         effect = self._settings.classes[call.cls].effect
         self._timers[token] = self._loop.call_later(time_left / 1e6, self._client_timed_out, token, effect)
         query = self._now(), token, call.id, call.customer, effect
-        self._perform(self.work.back(*query) if call.back else self.work.seek(*query, call.mark))
+        self._perform(
+            self.core.client_returned(*query) if call.back else self.core.look_up_key(*query, call.mark)
+        )
 
     def _client_timed_out(self, token: int, effect: Effect) -> None:
         self._timers.pop(token, None)
-        self._perform(self.work.client_timed_out(token, effect))
+        self._perform(self.core.client_timed_out(token, effect))
 
-    def _replicate(self, covered: Covered) -> None:
+    def _replicate(self, covered: OwnedCall) -> None:
         """Replicates a request after the decision module has seen it: `counted` is known by then."""
         if covered.accepted or covered.is_over:
             return
@@ -231,9 +238,11 @@
             covered.mark,
         )
         time_left = max(0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - WAY)
-        self._perform(self.work.accepted(self._now(), record, time_left, covered.counted, covered.token))
+        self._perform(
+            self.core.request_accepted(self._now(), record, time_left, covered.counted, covered.token)
+        )
 
-    def _ended(self, covered: Covered, answer: Answer, value: bytes | Stream) -> None:
+    def _ended(self, covered: OwnedCall, answer: Answer, value: bytes | Stream) -> None:
         """Handles the final answer of the engine."""
         covered.is_over = True
         self._covered.pop(covered.request, None)
@@ -244,11 +253,11 @@
             return
         if self._by_id.get(covered.id) is covered:
             del self._by_id[covered.id]
-        if not self.work.may_send(self._now(), covered.id):
+        if not self.core.may_send(self._now(), covered.id):
             # For instance after its deadline: the decision module learns of it later.
             self._ended_unsure.add(covered.request)
         is_waiting = covered.token in self._calls
-        self._perform(self.work.finished(self._now(), covered.id, answer), (covered.token, value))
+        self._perform(self.core.request_finished(self._now(), covered.id, answer), (covered.token, value))
         if not isinstance(value, bytes) and not (is_waiting and covered.token not in self._calls):
             value.gone()  # nobody waits for it
 
@@ -262,7 +271,7 @@
     def ended(self, attempt: Attempt, result: Result) -> None:
         """Handles the end of an attempt."""
         if result.never_ran:
-            self.work.missed(attempt.call.id, attempt.number)
+            self.core.attempt_never_ran(attempt.call.id, attempt.number)
 
     def unsure(self) -> Iterable[tuple[int, bool]]:
         """Returns requests that may have been taken over since the last call, or may not any more.
@@ -271,27 +280,27 @@
         expires.
         """
         now = self._now()
-        expired = self.work.expired_keepers(now)
+        expired = self.core.expired_keepers(now)
         if expired == self._expired_keepers and not self._unsure and not self._ended_unsure:
             return ()
         ended, self._ended_unsure = self._ended_unsure, set()
         self._expired_keepers, previous = expired, self._unsure
         open_now = (covered for covered in self._covered.values() if covered.accepted)
-        self._unsure = {covered.request for covered in open_now if not self.work.may_send(now, covered.id)}
+        self._unsure = {covered.request for covered in open_now if not self.core.may_send(now, covered.id)}
         changed = [(request, False) for request in previous - self._unsure - ended]
         return changed + [(request, True) for request in (self._unsure | ended) - previous]
 
     def send(self, attempt: Attempt, timeout: int) -> None:
         """Sends an attempt as soon as its keeper has acknowledged the intent."""
         call, now = attempt.call, self._now()
-        if isinstance(call, Covered) and not call.accepted:
+        if isinstance(call, OwnedCall) and not call.accepted:
             self._replicate(call)
         self._pending_attempts[(call.id, attempt.number)] = (attempt, now + timeout)
-        self._perform(self.work.intends(now, call.id, attempt.number, attempt.server, timeout))
+        self._perform(self.core.attempt_announced(now, call.id, attempt.number, attempt.server, timeout))
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Returns whether an attempt may still be written."""
-        return self.work.may_send(self._now(), attempt.call.id)
+        return self.core.may_send(self._now(), attempt.call.id)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt."""
@@ -318,12 +327,12 @@
     # --- links ------------------------------------------------------------------------------------------
 
     def _message_received(self, name: str, incarnation: int, message: Any) -> None:
-        self._perform(self.work.heard(self._now(), name, incarnation, message))
+        self._perform(self.core.message_received(self._now(), name, incarnation, message))
 
     def _peers_changed(self, changes: Iterable[News]) -> None:
         for change in changes:
             self.note("instance", {"name": change.name, "is": type(change).__name__.lower()})
-            self._perform(self.work.news(self._now(), change))
+            self._perform(self.core.peer_changed(self._now(), change))
 
     # --- actions ----------------------------------------------------------------------------------------
 
@@ -374,14 +383,14 @@
         places = (self._places[0].get(record.cls), self._places[1].get(record.plan))
         if places[0] is None or places[1] is None:
             log(f"can't resume a request of class {record.cls} and plan {record.plan}: unknown here")
-            self._perform(self.work.finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
+            self._perform(self.core.request_finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
             return
         patience = (action.time_left + WAY) // 1_000
         taken = action.counted, action.sent
-        covered = Covered.resumed(record, (places[0], places[1]), patience, *taken, self._ended)
+        covered = OwnedCall.resumed(record, (places[0], places[1]), patience, *taken, self._ended)
         covered.request = self._engine.submit(covered)
         if not covered.request:  # an attempt under this id is still running here
-            self._perform(self.work.finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
+            self._perform(self.core.request_finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
             return
         self._covered[covered.request] = covered
         self._by_id[record.id] = covered
@@ -392,12 +401,12 @@
         self._decision_tasks.add(task)
         task.add_done_callback(self._decision_tasks.discard)
 
-    async def _write_decision(self, store: Store, action: ProposeDecision) -> None:
+    async def _write_decision(self, store: DecisionStore, action: ProposeDecision) -> None:
         owner_resumes = await store.write(action.pair, action.owner)
-        self._perform(self.work.word(self._now(), action.pair, owner_resumes))
+        self._perform(self.core.decision_received(self._now(), action.pair, owner_resumes))
 
     def _schedule_tick(self) -> None:
-        next_tick = self.work.due()
+        next_tick = self.core.next_tick()
         if next_tick == self._next_tick:
             return
         if self._timer is not None:
@@ -409,4 +418,4 @@
 
     def _tick(self) -> None:
         self._next_tick = self._timer = None
-        self._perform(self.work.tick(self._now()))
+        self._perform(self.core.tick(self._now()))
--- a/lynxreel/takeover/rights.py
+++ b/lynxreel/takeover/rights.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _LeaseFromKeeper:
     """An owner's lease from one keeper."""
 
     keeper_incarnation: int
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class _Given:
+class _LeaseToOwner:
     """The leases that a keeper granted to one owner."""
 
     session: int = 1
@@ -97,15 +97,15 @@
 
     def __init__(self, duration: int, max_drift: float) -> None:
         self.duration, self._max_drift = duration, max_drift
-        self._from_keepers: dict[str, _Held] = {}
-        self._to_owners: dict[tuple[str, int], _Given] = {}
+        self._from_keepers: dict[str, _LeaseFromKeeper] = {}
+        self._to_owners: dict[tuple[str, int], _LeaseToOwner] = {}
 
     # --- owner ------------------------------------------------------------------------------------------
 
     def keeper_connected(self, keeper: str, incarnation: int) -> None:
         """Handles a keeper that is up. A new incarnation grants new leases."""
         if keeper not in self._from_keepers or self._from_keepers[keeper].keeper_incarnation != incarnation:
-            self._from_keepers[keeper] = _Held(incarnation)
+            self._from_keepers[keeper] = _LeaseFromKeeper(incarnation)
 
     def may_act(self, now: int, keeper: str) -> bool:
         """Returns whether the requests at this keeper may be acted on."""
@@ -187,7 +187,7 @@
         self, now: int, owner: str, incarnation: int, request: LeaseRequest
     ) -> tuple[LeaseGrant | None, bool]:
         """Handles an owner's renewal; returns the grant, and whether its earlier replicas are void now."""
-        lease = self._to_owners.setdefault((owner, incarnation), _Given(request.session))
+        lease = self._to_owners.setdefault((owner, incarnation), _LeaseToOwner(request.session))
         session_is_new = self.session_seen(owner, incarnation, request.session)
         if (
             request.session < lease.session
@@ -210,10 +210,10 @@
 
     def session_seen(self, owner: str, incarnation: int, session: int) -> bool:
         """Notes the session of a message; returns whether it is later than those before."""
-        lease = self._to_owners.setdefault((owner, incarnation), _Given(session))
+        lease = self._to_owners.setdefault((owner, incarnation), _LeaseToOwner(session))
         if session <= lease.session:
             return False
-        self._to_owners[(owner, incarnation)] = _Given(session)
+        self._to_owners[(owner, incarnation)] = _LeaseToOwner(session)
         return True
 
     def peer_died(self, now: int, owner: str, incarnation: int) -> None:
@@ -232,7 +232,7 @@
         """Returns what may be done with a replica now; `dead`: its owner is dead."""
         if not self.duration:
             return Standing.MINE if dead else Standing.WAIT
-        lease = self._to_owners.setdefault((owner, incarnation), _Given(session))
+        lease = self._to_owners.setdefault((owner, incarnation), _LeaseToOwner(session))
         if session < lease.session or lease.keeper_resumes is False:
             return Standing.VOID
         if lease.keeper_resumes or lease.died_in_time:
--- a/lynxreel/takeover/word.py
+++ b/lynxreel/takeover/word.py
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class DecisionConfig:
     """The cluster, and the prefix of the keys of ownership decisions."""
 
     etcd: Options
     prefix: str
 
 
-class Store:
+class DecisionStore:
     """Writes and reads ownership decisions."""
 
-    def __init__(self, word: Word, life: int) -> None:
+    def __init__(self, word: DecisionConfig, life: int) -> None:
         """`life`: microseconds after which no replica is left that a decision applies to."""
         self._client, self._prefix = Client(word.etcd), word.prefix
         self._lease_seconds = math.ceil(life * LEASE_LIVES / 1e6)
--- a/lynxreel/takeover/work.py
+++ b/lynxreel/takeover/work.py
@@ -70,7 +70,7 @@
 KEY_MEMORY_MARGIN = 250_000  # microseconds of the boxes' key memory that must be left for a repeat
 
 
-class Work:
+class TakeoverCore:
     """The takeover state machine of one instance."""
 
     def __init__(self, settings: TakeoverSettings, peers: Peers, ranks: Ranks) -> None:
@@ -107,7 +107,9 @@
 
     # --- owner ------------------------------------------------------------------------------------------
 
-    def accepted(self, now: int, record: Record, time_left: int, counted: bool, token: int) -> list[Action]:
+    def request_accepted(
+        self, now: int, record: Record, time_left: int, counted: bool, token: int
+    ) -> list[Action]:
         """Handles a new request of a client, whose increment, if there is one, has been written."""
         self._actions = []
         owned = self.owned[record.id] = OwnedRequest(record, 1, now + time_left, counted, [token])
@@ -116,7 +118,9 @@
         self._choose_keeper(now, owned)
         return self._actions
 
-    def intends(self, now: int, request_id: bytes, attempt: int, box: str, timeout: int) -> list[Action]:
+    def attempt_announced(
+        self, now: int, request_id: bytes, attempt: int, box: str, timeout: int
+    ) -> list[Action]:
         """Handles an attempt that is about to be sent; AllowAttempt or DenyAttempt follows, now or later."""
         self._actions = []
         owned = self.owned.get(request_id)
@@ -136,7 +140,7 @@
         self._allow_attempts(now, owned)
         return self._actions
 
-    def missed(self, request_id: bytes, attempt: int) -> None:
+    def attempt_never_ran(self, request_id: bytes, attempt: int) -> None:
         """Handles the end of an attempt that never ran."""
         owned = self.owned.get(request_id)
         if owned is not None:
@@ -144,7 +148,7 @@
             owned.attempt_deadlines.pop(attempt, None)
             self._remove_pending(owned, attempt)
 
-    def finished(self, now: int, request_id: bytes, answer: Answer) -> list[Action]:
+    def request_finished(self, now: int, request_id: bytes, answer: Answer) -> list[Action]:
         """Handles the final answer of a request; every waiter gets it."""
         self._actions = []
         owned = self.owned.get(request_id)
@@ -214,7 +218,7 @@
             if isinstance(entry, OwnedRequest) and not entry.waiters and not self._may_have_run(entry):
                 self._actions.append(CancelRequest(request_id))
                 earlier_actions = self._actions
-                self._actions = [*earlier_actions, *self.finished(now, request_id, REFUSED)]
+                self._actions = [*earlier_actions, *self.request_finished(now, request_id, REFUSED)]
         return self._actions
 
     def client_timed_out(self, token: int, effect: Effect) -> list[Action]:
@@ -323,13 +327,15 @@
 
     # --- returning clients ------------------------------------------------------------------------------
 
-    def back(self, now: int, token: int, request_id: bytes, customer: int, effect: Effect) -> list[Action]:
+    def client_returned(
+        self, now: int, token: int, request_id: bytes, customer: int, effect: Effect
+    ) -> list[Action]:
         """Handles a client that returned here for an answer; AnswerClient follows, now or later."""
         self._actions = []
         self._attach_or_look_up(now, token, request_id, customer, effect)
         return self._actions
 
-    def seek(
+    def look_up_key(
         self, now: int, token: int, request_id: bytes, customer: int, effect: Effect, mark: bytes
     ) -> list[Action]:
         """Handles a key that may have been used before; AnswerClient or StartRequest follows, now or later.
@@ -592,7 +598,7 @@
 
     # --- messages of other instances --------------------------------------------------------------------
 
-    def heard(self, now: int, sender: str, incarnation: int, message: Message) -> list[Action]:
+    def message_received(self, now: int, sender: str, incarnation: int, message: Message) -> list[Action]:
         """Handles a message of another instance, sent by this incarnation of it."""
         self._actions = []
         match message:
@@ -829,7 +835,7 @@
             if not owned.superseded_by:
                 self._choose_keeper(now, owned)
 
-    def word(self, now: int, pair: Pair, owner_resumes: bool | None) -> list[Action]:
+    def decision_received(self, now: int, pair: Pair, owner_resumes: bool | None) -> list[Action]:
         """Handles the ownership decision on a pair's replicas; None if it is unavailable now."""
         self._actions = []
         as_owner = pair.owner == self._settings.name and pair.owner_incarnation == self._settings.incarnation
@@ -902,7 +908,7 @@
 
     # --- peers ------------------------------------------------------------------------------------------
 
-    def news(self, now: int, change: Up | Lost | Dead) -> list[Action]:
+    def peer_changed(self, now: int, change: Up | Lost | Dead) -> list[Action]:
         """Handles a peer that is up, lost or dead; `peers` has been updated already."""
         self._actions = []
         if isinstance(change, Lost):
@@ -996,7 +1002,7 @@
 
     # --- timers -----------------------------------------------------------------------------------------
 
-    def due(self) -> int | None:
+    def next_tick(self) -> int | None:
         """Returns when `tick` has to be called next; None if nothing is scheduled."""
         times = [next(iter(self._ack_deadlines.values()))] if self._ack_deadlines else []
         times += [lookup.retry_at for lookup in self.lookups.values()]
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -9,7 +9,14 @@
 from lynxreel.standins.faults import Fault, Kind
 from tests.fleet import Caller, fleet, run
 from tests.test_rights import takeover_status
-from tests.test_work_in_hand import COMMIT, as_returning, clean, commands_received, patiently, wait_until
+from tests.test_work_in_hand import (
+    COMMIT,
+    as_returning,
+    clean,
+    commands_received,
+    wait_until,
+    with_slow_counter,
+)
 
 LOOKUP = ["CALL.GET", f"{77:016x}", "r1", "c=lookup,t=standard,d=1900,units=1"]
 
@@ -47,7 +54,7 @@
     """Its own keeper takes over: an effect has run once, a lookup runs a third time and is served."""
 
     async def scenario() -> None:
-        async with fleet(tmp_path, 4, takeover=True, zones=4, edit=patiently) as deployment:
+        async with fleet(tmp_path, 4, takeover=True, zones=4, edit=with_slow_counter) as deployment:
             effect = call is COMMIT
             if effect:
                 deployment.counter_faults.on(Fault(Kind.SLOW, delay=0.3))
@@ -97,7 +104,7 @@
 def test_links_that_lose_double_and_swap_while_a_third_is_killed_under_load(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(
-            tmp_path, 6, rate=120, boxes=16, edit=patiently, takeover=True, zones=3, wires=True
+            tmp_path, 6, rate=120, boxes=16, edit=with_slow_counter, takeover=True, zones=3, wires=True
         ) as deployment:
             for kind in (Kind.LOSE, Kind.TWICE, Kind.SWAP, Kind.SLOW):
                 deployment.wire_faults.on(Fault(kind, share=0.1, delay=0.01))
@@ -142,7 +149,7 @@
     """Instances are stopped as by operators; nothing is lost, late, answered differently or run twice."""
 
     async def scenario() -> None:
-        async with fleet(tmp_path, 4, rate=80, takeover=True, zones=2, edit=patiently) as deployment:
+        async with fleet(tmp_path, 4, rate=80, takeover=True, zones=2, edit=with_slow_counter) as deployment:
             play = asyncio.ensure_future(deployment.play(12.0))
             for number in range(4):
                 gateway = deployment.gateways[number]
--- a/tests/test_rights.py
+++ b/tests/test_rights.py
@@ -21,9 +21,9 @@
     as_returning,
     commands_received,
     fresh_state,
-    patiently,
     units_added,
     wait_until,
+    with_slow_counter,
 )
 
 
@@ -31,7 +31,7 @@
     folder: Path, gateways: int = 3, lease: int = 200, env: Mapping[str, str] | None = None
 ) -> contextlib.AbstractAsyncContextManager[tuple[Deployment, Cluster]]:
     """Instances whose links can fail, with ownership decisions in a stand-in etcd."""
-    return with_word(folder, gateways, lease, edit=patiently, env=env)
+    return with_word(folder, gateways, lease, edit=with_slow_counter, env=env)
 
 
 def decisions(cluster: Cluster) -> list[bytes]:
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -27,7 +27,7 @@
 from lynxreel.takeover.grants import StartGrants
 from lynxreel.takeover.messages import NONE, AnswerKind, Record
 from lynxreel.takeover.rights import Leases, Standing
-from lynxreel.takeover.work import Work
+from lynxreel.takeover.work import TakeoverCore
 
 DEATHS = Budget(lost=1, doubled=1, deaths=2, restarts=1)
 STOPS = Budget(deaths=1, stops=1, ticks=12)
@@ -94,34 +94,40 @@
 
 def no_fence(patch: pytest.MonkeyPatch) -> None:
     """An owner acts without a valid lease, or after a takeover."""
-    patch.setattr(Work, "_may_act", lambda self, now, owned: True)
-    patch.setattr(Work, "may_send", lambda self, now, request_id: True)
+    patch.setattr(TakeoverCore, "_may_act", lambda self, now, owned: True)
+    patch.setattr(TakeoverCore, "may_send", lambda self, now, request_id: True)
 
 
 def intent_after_the_send(patch: pytest.MonkeyPatch) -> None:
     """An attempt is sent before the keeper has acknowledged its intent."""
-    original: Callable[..., Any] = Work._allow_attempts
+    original: Callable[..., Any] = TakeoverCore._allow_attempts
 
-    def allow_attempts(self: Work, now: int, owned: OwnedRequest) -> None:
+    def allow_attempts(self: TakeoverCore, now: int, owned: OwnedRequest) -> None:
         owned.acknowledged.update(owned.pending_attempts)
         original(self, now, owned)
 
-    patch.setattr(Work, "_allow_attempts", allow_attempts)
+    patch.setattr(TakeoverCore, "_allow_attempts", allow_attempts)
 
 
 def epoch_not_compared(patch: pytest.MonkeyPatch) -> None:
     """A message of an earlier epoch is accepted."""
-    original: Callable[..., Any] = Work._find_replica
+    original: Callable[..., Any] = TakeoverCore._find_replica
 
     def find_replica(
-        self: Work, now: int, sender: str, incarnation: int, request_id: bytes, epoch: int, session: int
+        self: TakeoverCore,
+        now: int,
+        sender: str,
+        incarnation: int,
+        request_id: bytes,
+        epoch: int,
+        session: int,
     ) -> Any:
         if (owned := self.owned.get(request_id)) is not None and owned.epoch > epoch:
             self._lose_ownership(now, owned, epoch)
             owned.epoch = 0
         return original(self, now, sender, incarnation, request_id, epoch, session)
 
-    patch.setattr(Work, "_find_replica", find_replica)
+    patch.setattr(TakeoverCore, "_find_replica", find_replica)
 
 
 def alive_is_followed(patch: pytest.MonkeyPatch) -> None:
@@ -131,15 +137,15 @@
 
 def turned_away_and_kept(patch: pytest.MonkeyPatch) -> None:
     """A keeper that has rejected a replica stores it later."""
-    original: Callable[..., Any] = Work._reject_replica
+    original: Callable[..., Any] = TakeoverCore._reject_replica
 
     def reject_replica(
-        self: Work, now: int, sender: str, incarnation: int, request_id: bytes, epoch: int
+        self: TakeoverCore, now: int, sender: str, incarnation: int, request_id: bytes, epoch: int
     ) -> None:
         original(self, now, sender, incarnation, request_id, epoch)
         del self._rejected[request_id]
 
-    patch.setattr(Work, "_reject_replica", reject_replica)
+    patch.setattr(TakeoverCore, "_reject_replica", reject_replica)
 
 
 def units_forgotten(patch: pytest.MonkeyPatch) -> None:
@@ -154,7 +160,7 @@
 
 def unknown_run_again(patch: pytest.MonkeyPatch) -> None:
     """A request whose outcome is unknown is run again."""
-    patch.setattr(Work, "_terminal_answer", lambda self, now, owned: None)
+    patch.setattr(TakeoverCore, "_terminal_answer", lambda self, now, owned: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -72,7 +72,7 @@
     return [*call[:3], f"{call[3]},back=1", *call[4:]]
 
 
-def patiently(text: str) -> str:
+def with_slow_counter(text: str) -> str:
     """Allows calls to the counter to take two seconds."""
     return text.replace("[counter]", "[counter]\ntime_limit_ms = 2000")
 
@@ -81,7 +81,7 @@
     """The owner is killed while the counter has its increment and has not answered."""
 
     async def scenario() -> None:
-        async with fleet(tmp_path, 3, takeover=True, edit=patiently) as deployment:
+        async with fleet(tmp_path, 3, takeover=True, edit=with_slow_counter) as deployment:
             deployment.counter_faults.on(Fault(Kind.SLOW, delay=0.5))
             owner, other, third = [await Caller.to(gateway) for gateway in deployment.gateways]
             owner.command(*COMMIT)
@@ -107,7 +107,7 @@
     """
 
     async def scenario() -> None:
-        async with fleet(tmp_path, 3, takeover=True, edit=patiently) as deployment:
+        async with fleet(tmp_path, 3, takeover=True, edit=with_slow_counter) as deployment:
             deployment.counter_faults.on(Fault(Kind.SLOW, delay=0.5))
             owner, other, _ = [await Caller.to(gateway) for gateway in deployment.gateways]
             owner.command(*COMMIT)
@@ -248,7 +248,15 @@
 
     async def scenario() -> None:
         async with fleet(
-            tmp_path, 20, rate=300, seed=seed, boxes=24, edit=patiently, takeover=True, zones=3, keyed=True
+            tmp_path,
+            20,
+            rate=300,
+            seed=seed,
+            boxes=24,
+            edit=with_slow_counter,
+            takeover=True,
+            zones=3,
+            keyed=True,
         ) as deployment:
             deployment.box_faults.on(Fault(Kind.SLOW, delay=0.12))
             play = asyncio.ensure_future(deployment.play(4.0))
@@ -272,7 +280,7 @@
 
     async def scenario() -> None:
         async with fleet(
-            tmp_path, 9, rate=150, boxes=16, edit=patiently, takeover=True, zones=3
+            tmp_path, 9, rate=150, boxes=16, edit=with_slow_counter, takeover=True, zones=3
         ) as deployment:
             deployment.box_faults.on(Fault(Kind.SLOW, delay=0.2))
             play = asyncio.ensure_future(deployment.play(3.0))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
 from lynxreel.records.reader import read
 from lynxreel.standins.faults import Fault, Kind
 from tests.fleet import BROKEN, run
-from tests.test_work_in_hand import patiently
+from tests.test_work_in_hand import with_slow_counter
 
 GATEWAYS, BOXES, RATE = 12, 12, 250.0
 LOST = "z2"
@@ -79,7 +79,7 @@
 
 @contextlib.asynccontextmanager
 async def zoned(folder: Path) -> AsyncIterator[Fleet]:
-    given = {"boxes": BOXES, "rate": RATE, "zones": 3, "edit": patiently}
+    given = {"boxes": BOXES, "rate": RATE, "zones": 3, "edit": with_slow_counter}
     async with with_word(folder, GATEWAYS, **given) as (deployment, cluster):  # type: ignore[arg-type]
         deployment.ledger.slack = 1.0  # a machine that runs so many processes may stand still for a moment
         fleet = Fleet(deployment, cluster)
