--- a/lynxreel/standins/interleavings.py
+++ b/lynxreel/standins/interleavings.py
@@ -1,4 +1,4 @@
-"""All orders in which few instances can hear, lose, die, stop and go on: `TakeoverCore` itself under each of them.
+"""All orders in which few instances can hear, lose, die, stop and go on: `TakeoverCore` under each of them.
 
 A world is three instances, their peers' views, messages and attempts under way, one box, clients and a
 clock. A step is one thing that may happen next. Worlds are walked depth first and remembered by a digest of
@@ -203,9 +203,9 @@
             case CancelRequest():
                 own.engine.pop(action.id, None)
             case AnswerClient():
-                made.told.setdefault(made.waiting.pop(action.token), []).append(action.answer.how)
+                made.told.setdefault(made.waiting.pop(action.token), []).append(action.answer.kind)
             case ProposeDecision():
-                made.asking.append((number, own.life, action.pair, action.owner))
+                made.asking.append((number, own.life, action.pair, action.as_owner))
 
 
 # --- what may happen next ---------------------------------------------------------------------------------
@@ -379,7 +379,13 @@
 
 def _terms(name: str, lease: int, incarnation: int) -> TakeoverSettings:
     return TakeoverSettings(
-        name, CLASSES, wait=WAIT, silence=SILENCE, keep=10_000_000, lease=lease, incarnation=incarnation
+        name,
+        CLASSES,
+        ack_timeout=WAIT,
+        peer_timeout=SILENCE,
+        retention=10_000_000,
+        lease=lease,
+        incarnation=incarnation,
     )
 
 
--- a/lynxreel/takeover/actions.py
+++ b/lynxreel/takeover/actions.py
@@ -83,7 +83,7 @@
     """Write this instance's ownership decision on a pair's replicas, unless there is one already."""
 
     pair: Pair
-    owner: bool  # propose the owner; otherwise the keeper
+    as_owner: bool  # as the owner; otherwise as the keeper
 
 
 Action: TypeAlias = (
--- a/lynxreel/takeover/calls.py
+++ b/lynxreel/takeover/calls.py
@@ -101,7 +101,7 @@
 
 def answer_call(call: Call, answer: Answer, value: bytes | Stream | None, harmless: bool) -> None:
     """Answers a client. `value`: as received, if at hand; `harmless`: the request may run twice."""
-    match answer.how:
+    match answer.kind:
         case AnswerKind.SERVED if value is not None:
             call.served(value)
         case AnswerKind.SERVED if answer.status:
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -87,8 +87,8 @@
             classes=self._classes,
             max_replicas=plan.max_replicas,
             max_replica_bytes=plan.max_replica_bytes,
-            wait=plan.ack_timeout,
-            keep=plan.retention,
+            ack_timeout=plan.ack_timeout,
+            retention=plan.retention,
             wait_for_ack=plan.wait_for_ack,
             lease=plan.lease if self._store is not None else 0,
             max_drift=plan.max_drift,
@@ -402,7 +402,7 @@
         task.add_done_callback(self._decision_tasks.discard)
 
     async def _write_decision(self, store: DecisionStore, action: ProposeDecision) -> None:
-        owner_resumes = await store.write(action.pair, action.owner)
+        owner_resumes = await store.write(action.pair, action.as_owner)
         self._perform(self.core.decision_received(self._now(), action.pair, owner_resumes))
 
     def _schedule_tick(self) -> None:
--- a/lynxreel/takeover/messages.py
+++ b/lynxreel/takeover/messages.py
@@ -25,7 +25,7 @@
 class Answer(msgspec.Struct, frozen=True, array_like=True):
     """A final answer. `wait`: microseconds after which a refused request may be sent again."""
 
-    how: AnswerKind
+    kind: AnswerKind
     value: bytes = b""
     wait: int = 0
     status: int = 0  # of an HTTP answer, with its header fields; 0 for any other
@@ -33,8 +33,14 @@
 
 
 NONE, UNKNOWN, REFUSED, OTHER, PENDING = (
-    Answer(how)
-    for how in (AnswerKind.NONE, AnswerKind.UNKNOWN, AnswerKind.REFUSED, AnswerKind.OTHER, AnswerKind.PENDING)
+    Answer(kind)
+    for kind in (
+        AnswerKind.NONE,
+        AnswerKind.UNKNOWN,
+        AnswerKind.REFUSED,
+        AnswerKind.OTHER,
+        AnswerKind.PENDING,
+    )
 )
 
 
--- a/lynxreel/takeover/terms.py
+++ b/lynxreel/takeover/terms.py
@@ -24,9 +24,9 @@
     classes: Mapping[str, ClassSettings]
     max_replicas: int = 20_000  # replicas kept
     max_replica_bytes: int = 32 << 20  # bytes of replicas kept
-    wait: int = 20_000  # for which an attempt waits for its intent to be acknowledged
-    silence: int = 200_000  # for which a peer's response is awaited: a live process may stall for 0.15 s
-    keep: int = 15_000_000  # for which answers are kept after a request's deadline
+    ack_timeout: int = 20_000  # for which an attempt waits for its intent to be acknowledged
+    peer_timeout: int = 200_000  # for which a peer's response is awaited: a live process may stall for 0.15 s
+    retention: int = 15_000_000  # for which answers are kept after a request's deadline
     # `once` waits for the acknowledgement of its intent; otherwise its replica counts as sent from the start.
     wait_for_ack: bool = True
     lease: int = 0  # for which a keeper allows an owner to act; 0: only dead owners are taken over
--- a/lynxreel/takeover/work.py
+++ b/lynxreel/takeover/work.py
@@ -94,8 +94,8 @@
         self._delayed_resumes: list[tuple[int, bytes]] = []
         self._rejected: dict[bytes, tuple[int, str, int]] = {}  # replicas: epoch, owner, its incarnation
         self._reported_missing: dict[bytes, None] = {}  # requests that were reported to a client as not found
-        self._start_grants = StartGrants(settings.silence)
-        self._responses = PeerResponses(settings.silence)
+        self._start_grants = StartGrants(settings.peer_timeout)
+        self._responses = PeerResponses(settings.peer_timeout)
         # Decisions that were unavailable: when to retry, and whether as the owner.
         self._decision_retries: dict[Pair, tuple[int, bool]] = {}
         self._actions: list[Action] = []
@@ -114,7 +114,7 @@
         self._actions = []
         owned = self.owned[record.id] = OwnedRequest(record, 1, now + time_left, counted, [token])
         self._local_waiters[token] = record.id
-        self._expire_at(owned.deadline + self._settings.keep, record.id)
+        self._expire_at(owned.deadline + self._settings.retention, record.id)
         self._choose_keeper(now, owned)
         return self._actions
 
@@ -135,7 +135,7 @@
             return [AllowAttempt(request_id, attempt)]
         owned.attempt_deadlines[attempt] = now + timeout
         owned.pending_attempts[attempt] = box
-        self._ack_deadlines[(request_id, attempt)] = now + self._settings.wait
+        self._ack_deadlines[(request_id, attempt)] = now + self._settings.ack_timeout
         self._send_intent(now, owned, attempt, box, first_run)
         self._allow_attempts(now, owned)
         return self._actions
@@ -157,7 +157,7 @@
         if owned.superseded_by:  # the other owner's answer is the valid one
             return []
         harmless = self._class_of(owned.record).effect is Effect.REPEATABLE or not self._may_have_run(owned)
-        if answer.how is AnswerKind.REFUSED and not harmless:
+        if answer.kind is AnswerKind.REFUSED and not harmless:
             answer = Answer(AnswerKind.FAILED)  # an earlier owner may have run it
         for attempt in list(owned.pending_attempts):
             self._remove_pending(owned, attempt)
@@ -177,15 +177,15 @@
         session = self._leases.session(owned.keeper)
         # Taking over a refused request is harmless if it may run twice.
         deferrable = (
-            answer.how is AnswerKind.REFUSED and self._class_of(owned.record).effect is Effect.REPEATABLE
+            answer.kind is AnswerKind.REFUSED and self._class_of(owned.record).effect is Effect.REPEATABLE
         )
         self._actions.append(
             SendMessage(owned.keeper, Done(owned.record.id, owned.epoch, session, answer), deferrable)
         )
-        if self._needs_ack(owned) and answer.how is AnswerKind.REFUSED:
+        if self._needs_ack(owned) and answer.kind is AnswerKind.REFUSED:
             # A client that is told that nothing ran may send the request anew: the keeper must know first.
             owned.refusal_pending = True
-            self._ack_deadlines[(owned.record.id, ANSWER_ACK)] = now + self._settings.wait
+            self._ack_deadlines[(owned.record.id, ANSWER_ACK)] = now + self._settings.ack_timeout
         else:
             self._answer_waiters(owned, answer)
 
@@ -341,8 +341,9 @@
         """Handles a key that may have been used before; AnswerClient or StartRequest follows, now or later.
 
         Likely keepers are asked. They are waited for as long as a live process may stall; one that has been
-        silent for longer already, only for `wait`. A holder of the request responds at once. This prevents a
-        second run; if an instance was silent for longer, only the boxes that drop repeats prevent it.
+        silent for longer already, only for `ack_timeout`. A holder of the request responds at once. This
+        prevents a second run; if an instance was silent for longer, only the boxes that drop repeats prevent
+        it.
         """
         self._actions = []
         if not self._attach_waiter(now, token, request_id, customer, mark):
@@ -363,7 +364,9 @@
         lookup.in_progress_at.clear()
         for name in lookup.awaiting:
             timeout = (
-                self._settings.wait if self._responses.is_unresponsive(now, name) else self._settings.silence
+                self._settings.ack_timeout
+                if self._responses.is_unresponsive(now, name)
+                else self._settings.peer_timeout
             )
             lookup.response_deadlines[name] = now + timeout
             self._responses.request_sent(now, name)
@@ -378,7 +381,7 @@
 
     def _grant_start(self, now: int, request_id: bytes, asker: str) -> None:
         if self._start_grants.grant(now, request_id, asker):
-            self._expire_at(now + self._settings.keep, request_id)
+            self._expire_at(now + self._settings.retention, request_id)
 
     def _continue_keyed_lookup(self, now: int, token: int, lookup: KeyedLookup) -> None:
         """Continues a lookup after a timeout: the request may be here by now; silent peers are dropped."""
@@ -536,7 +539,7 @@
             owned.answer = final
             self.counts["told_unknown"] += final is UNKNOWN
             self._answer_waiters(owned, final)
-        how = "carried on" if owned.answer is None else owned.answer.how.name.lower()
+        how = "carried on" if owned.answer is None else owned.answer.kind.name.lower()
         self._actions.append(ReportTransfer(record.id, record.cls, True, replica.owner, how))
         self._choose_keeper(now, owned)
         if owned.answer is not None:
@@ -734,13 +737,13 @@
             replica.waiters = previous.waiters if previous is not None else []
             self.replicas[request_id] = replica
             self.replica_bytes += size
-            self._expire_at(replica.deadline + self._settings.keep, request_id)
+            self._expire_at(replica.deadline + self._settings.retention, request_id)
         replica.counted |= put.counted
         if sent_at is not None:
             replica.sent_at = sent_at if replica.sent_at is None else min(sent_at, replica.sent_at)
         if put.answer is not None:
             self._set_answer(replica, put.answer)
-            if put.answer.how is AnswerKind.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
+            if put.answer.kind is AnswerKind.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
                 self._actions.append(SendMessage(sender, Ack(request_id, put.epoch, ANSWER_ACK)))
 
     def _on_intent(self, now: int, sender: str, incarnation: int, intent: Intent) -> None:
@@ -761,19 +764,22 @@
     def _report_missing(self, now: int, request_id: bytes) -> None:
         """Notes that the request was reported as not found: a failed owner's replica now comes too late."""
         self._reported_missing[request_id] = None
-        self._expire_at(now + self._settings.keep, request_id)
+        self._expire_at(now + self._settings.retention, request_id)
 
     def _reject_replica(self, now: int, sender: str, incarnation: int, request_id: bytes, epoch: int) -> None:
         """Rejects a replica for good: the owner looks for another keeper, and there must be only one."""
         self._rejected[request_id] = (epoch, sender, incarnation)
-        self._expire_at(now + self._settings.keep, request_id)
+        self._expire_at(now + self._settings.retention, request_id)
         self._actions.append(SendMessage(sender, Rejected(request_id, epoch)))
 
     def _on_done(self, now: int, sender: str, incarnation: int, done: Done) -> None:
         _, replica = self._find_replica(now, sender, incarnation, done.id, done.epoch, done.session)
         if replica is not None:
             self._set_answer(replica, done.answer)
-            if done.answer.how is AnswerKind.REFUSED and self._class_of(replica.record).effect is Effect.ONCE:
+            if (
+                done.answer.kind is AnswerKind.REFUSED
+                and self._class_of(replica.record).effect is Effect.ONCE
+            ):
                 self._actions.append(SendMessage(sender, Ack(done.id, done.epoch, ANSWER_ACK)))
 
     def _set_answer(self, replica: Replica, answer: Answer) -> None:
@@ -892,12 +898,12 @@
         lookup = self.lookups.get(response.token)
         if lookup is None:
             return
-        if response.answer.how is AnswerKind.PENDING:
+        if response.answer.kind is AnswerKind.PENDING:
             is_awaited = lookup.awaiting.get(sender, False) and response.round == lookup.round
             if isinstance(lookup, KeyedLookup) and is_awaited:
                 lookup.in_progress_at.add(sender)
             return
-        if response.answer.how is not AnswerKind.NONE:
+        if response.answer.kind is not AnswerKind.NONE:
             del self.lookups[response.token]
             self._answer_waiter(response.token, response.answer)
         elif lookup.awaiting.get(sender) and response.round == lookup.round:
@@ -1064,13 +1070,13 @@
     def _expire(self, now: int, request_id: bytes) -> None:
         """Removes an entry whose time is over, unless the same id has a later one."""
         owned, replica = self.owned.get(request_id), self.replicas.get(request_id)
-        if owned is not None and owned.deadline + self._settings.keep <= now:
+        if owned is not None and owned.deadline + self._settings.retention <= now:
             del self.owned[request_id]
             self._withheld.pop(request_id, None)
         self._rejected.pop(request_id, None)
         self._reported_missing.pop(request_id, None)
         self._start_grants.remove(request_id)
-        if replica is not None and replica.deadline + self._settings.keep <= now:
+        if replica is not None and replica.deadline + self._settings.retention <= now:
             self._remove_replica(replica)
 
     def _remove_replica(self, replica: Replica) -> None:
