--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, cast
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.lingering import LingeringClose, has_unread, peer_has_closed
@@ -207,7 +207,7 @@
             return ConnectionHistory.NEW
         if self.queue:
             return ConnectionHistory.BUSY
-        return ConnectionHistory.RESTING if self._reader.empty() else ConnectionHistory.HALF_READ
+        return ConnectionHistory.IDLE if self._reader.empty() else ConnectionHistory.HALF_READ
 
     def _read(self) -> None:
         """Take what is whole, as long as there is room for more answers."""
@@ -345,7 +345,7 @@
         """The turn of a large value. With the limit at 0, `resume_writing` tells when what came is sent."""
         self._stream, self._whole = stream, False
         if self.transport.is_closing():
-            stream.gone()
+            stream.release()
             return
         self.transport.set_write_buffer_limits(high=0)
         if self._holds & self.UNREAD:  # the look whether the value goes on takes that one's place
@@ -355,7 +355,7 @@
         self.transport.write(b"$%d\r\n" % stream.length)
         stream.attach(self)
 
-    def pass_on(self, data: bytes) -> int:
+    def write_piece(self, data: bytes) -> int:
         """A piece of a large value; how much is still on hand."""
         if self.transport.is_closing():
             return 0
@@ -374,14 +374,14 @@
     def _streamed(self) -> None:
         """It has all left this process."""
         assert self._stream is not None
-        self._stream.gone()
+        self._stream.release()
         self._stream = None
         self._clients.streams.pop(self, None)
         self.transport.set_write_buffer_limits()
         self.queue.popleft()
         self.flush()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The large value will never be whole: an end in its middle tells the client so."""
         self.transport.abort()
 
@@ -389,7 +389,7 @@
     def sent(self) -> int:
         """Bytes of the large value that have left this process."""
         assert self._stream is not None
-        return self._stream.passed - self.transport.get_write_buffer_size()
+        return self._stream.forwarded - self.transport.get_write_buffer_size()
 
     def _hold(self, why: int) -> None:
         if not self._holds and not self.transport.is_closing():
@@ -485,7 +485,7 @@
             if self._whole:
                 self._streamed()
             else:
-                self._stream.drained(0)
+                self._stream.set_buffered(0)
             return
         self._clients.waiting.pop(self, None)
         self._release(self.UNREAD)
@@ -500,9 +500,9 @@
         self._ending = True
         for call in self.queue:
             if call.request:
-                self._clients.engine.gone(call.request)
+                self._clients.engine.client_disconnected(call.request)
             elif isinstance(call.reply, Stream):
-                call.reply.gone()
+                call.reply.release()
         self.queue.clear()
 
 
@@ -511,7 +511,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         terms: Terms,
         most: int,
         loop: asyncio.AbstractEventLoop,
@@ -655,7 +655,7 @@
             if (more := connection.sent) > sent:
                 self.streams[connection] = (more, self.loop.time())
             elif self.loop.time() - since > STALL:
-                connection.break_off()
+                connection.abort()
         late = self.loop.time() - IDLE_LEAST
         most = len(self.idle) - int(self._most * IDLE_PART)
         for connection, since in list(islice(self.idle.items(), max(0, most))):
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lynxreel.engine.engine import WAY, Attempt, Call, Engine
+from lynxreel.engine.engine import NETWORK_MARGIN, Attempt, Call, Engine
 from lynxreel.links.mesh import Mesh
 from lynxreel.links.peers import News
 from lynxreel.links.rank import Ranks
@@ -68,8 +68,8 @@
     ) -> None:
         """`apply_settings` has to be called before anything else."""
         self._plan, self._engine, self._servers, self._loop = plan, engine, servers, loop
-        engine.backend, engine.watch = self, self
-        servers.may, self.mesh = self._may_send, mesh
+        engine.backend, engine.observer = self, self
+        servers.may_send, self.mesh = self._may_send, mesh
         mesh.join(MESSAGE_TYPES, self._message_received, self._peers_changed)
         places = (mesh.own, *mesh.places.values())
         zones = {place.name: place.zone for place in places}
@@ -188,18 +188,18 @@
         """Takes a request as a new one after no instance was found to hold it."""
         timer, call = self._timers.pop(token), self._calls.pop(token)
         timer.cancel()
-        time_left = round((timer.when() - self._loop.time()) * 1e3) + WAY // 1_000
+        time_left = round((timer.when() - self._loop.time()) * 1e3) + NETWORK_MARGIN // 1_000
         if not self._start_request(token, call, max(1, time_left)):
             call.clash()
 
-    def gone(self, token: int) -> None:
+    def client_disconnected(self, token: int) -> None:
         """Handles the disconnect of a client."""
         self._calls.pop(token, None)
         if (timer := self._timers.pop(token, None)) is not None:
             timer.cancel()
         if (covered := self._unreplicated.pop(token, None)) is not None:
             covered.is_over = True
-            self._engine.gone(covered.request)
+            self._engine.client_disconnected(covered.request)
             self._covered.pop(covered.request)
         else:
             self._perform(self.core.client_disconnected(self._now(), token))
@@ -207,7 +207,9 @@
     def _look_up(self, token: int, call: Call) -> None:
         if token not in self._calls:
             return
-        time_left = max(0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - WAY)
+        time_left = max(
+            0, min(call.patience * 1_000, self._settings.classes[call.cls].deadline) - NETWORK_MARGIN
+        )
         effect = self._settings.classes[call.cls].effect
         self._timers[token] = self._loop.call_later(time_left / 1e6, self._client_timed_out, token, effect)
         query = self._now(), token, call.id, call.customer, effect
@@ -237,7 +239,9 @@
             covered.portable(),
             covered.mark,
         )
-        time_left = max(0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - WAY)
+        time_left = max(
+            0, min(covered.patience * 1_000, self._settings.classes[covered.cls].deadline) - NETWORK_MARGIN
+        )
         self._perform(
             self.core.request_accepted(self._now(), record, time_left, covered.counted, covered.token)
         )
@@ -259,7 +263,7 @@
         is_waiting = covered.token in self._calls
         self._perform(self.core.request_finished(self._now(), covered.id, answer), (covered.token, value))
         if not isinstance(value, bytes) and not (is_waiting and covered.token not in self._calls):
-            value.gone()  # nobody waits for it
+            value.release()  # nobody waits for it
 
     # --- engine -----------------------------------------------------------------------------------------
 
@@ -362,7 +366,7 @@
                     if (covered := self._by_id.pop(action.id, None)) is not None:
                         covered.is_over = True
                         self._covered.pop(covered.request, None)
-                        self._engine.gone(covered.request, action.moved)
+                        self._engine.client_disconnected(covered.request, action.moved)
                 case ProposeDecision():
                     self._propose_decision(action)
         self._schedule_tick()
@@ -385,7 +389,7 @@
             log(f"can't resume a request of class {record.cls} and plan {record.plan}: unknown here")
             self._perform(self.core.request_finished(self._now(), record.id, Answer(AnswerKind.FAILED)))
             return
-        patience = (action.time_left + WAY) // 1_000
+        patience = (action.time_left + NETWORK_MARGIN) // 1_000
         taken = action.counted, action.sent
         covered = OwnedCall.resumed(record, (places[0], places[1]), patience, *taken, self._ended)
         covered.request = self._engine.submit(covered)
--- a/tests/test_shutdown_report.py
+++ b/tests/test_shutdown_report.py
@@ -1,18 +1,18 @@
-"""What a shutdown tells of requests."""
+"""The report on requests during a shutdown."""
 
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 
 
-def test_a_request_read_while_connections_are_closed_is_followed_to_its_end() -> None:
+def test_a_request_read_while_connections_are_closed_is_logged_until_its_end() -> None:
     now, lines = 10.0, list[str]()
     report = ShutdownReport(lambda: now, lines.append)
     report.state("leaving", 3, 2)
     report.request_read(b"early", 0, ConnectionHistory.NEW, 2.0)
-    report.attempt_begun(b"early", 0, "s-1", 2.0)
+    report.attempt_started(b"early", 0, "s-1", 2.0)
     report.draining = True
     now = 10.93
     report.request_read(b"late", 1, ConnectionHistory.BUSY, 21.566)
-    report.attempt_begun(b"late", 0, "s-2", 21.5)
+    report.attempt_started(b"late", 0, "s-2", 21.5)
     report.attempt_ended(b"late", 0, "timeout")
     now = 11.0
     report.request_ended(b"late", "failed", "no time")
@@ -30,7 +30,7 @@
     assert report.counts() == {"read": {"new": 1, "busy": 1}, "ended": {"failed": 1, "served": 1}}
 
 
-def test_lines_on_requests_are_bounded_and_those_on_states_are_not_crowded_out() -> None:
+def test_lines_on_requests_are_limited_and_do_not_crowd_out_those_on_states() -> None:
     now, lines = 0.0, list[str]()
     report = ShutdownReport(lambda: now, lines.append)
     report.draining = True
