--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -82,7 +82,7 @@
 
             self._store = DecisionStore(plan.decisions, plan.retention + plan.longest_deadline)
         self._decision_tasks: set[asyncio.Task[None]] = set()
-        terms = TakeoverSettings(
+        settings = TakeoverSettings(
             name=mesh.own.name,
             classes=self._classes,
             max_replicas=plan.max_replicas,
@@ -95,7 +95,7 @@
             parallel_attempts=plan.parallel_attempts,
             incarnation=mesh.incarnation,
         )
-        self.core = TakeoverCore(terms, self.mesh.peers, Ranks(zones, hosts))
+        self.core = TakeoverCore(settings, self.mesh.peers, Ranks(zones, hosts))
         self._tokens = itertools.count(1)
         self._calls: dict[int, Call] = {}  # clients that wait here, by token
         self._timers: dict[int, asyncio.TimerHandle] = {}  # of clients that returned
--- a/lynxreel/takeover/grants.py
+++ b/lynxreel/takeover/grants.py
@@ -33,9 +33,9 @@
         return grant is not None and grant.holder != asker and now < grant.expires_at
 
     def grant(self, now: int, request: bytes, asker: str) -> bool:
-        """Grants the start unless another instance holds a valid grant; returns whether it is the first.
+        """Grants the start unless another instance holds a valid grant.
 
-        The asker learns that the request is not held here.
+        The asker learns that the request is not held here. Returns whether it is the first asker.
         """
         grant = self._grants.get(request)
         is_first = grant is None
--- a/lynxreel/takeover/messages.py
+++ b/lynxreel/takeover/messages.py
@@ -96,7 +96,7 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="unkept"):
-    """Rejects a Put or an Intent: the replica is not kept here."""
+    """Rejects a Put or an Intent: the replica is not kept here, for lack of room or as it comes too late."""
 
     id: bytes
     epoch: int
--- a/lynxreel/takeover/rights.py
+++ b/lynxreel/takeover/rights.py
@@ -11,8 +11,8 @@
 grants no lease any more.
 
 A death that is certain needs no decision if it is noticed while the lease is still valid: nobody can have
-proposed one before. A keeper knows that an owner's lease is valid by the grants that return in later
-requests.
+proposed one before. A keeper knows that an owner's lease is valid by the grants whose stamps return in
+later requests.
 
 With a lease of 0 there is no store: an owner may always act, and only dead owners are taken over.
 """
@@ -85,7 +85,7 @@
     session: int = 1
     expires_at: int = 0  # the owner's lease has certainly expired by then
     certain_until: int = 0  # the lease is certainly valid until then
-    # By stamp: when it was granted, and when the grant before was that the owner had received.
+    # By stamp: the time of the grant, and the time of the previous grant that the owner had received.
     grants: dict[int, tuple[int, int]] = field(default_factory=dict)
     proposing: bool = False
     keeper_resumes: bool | None = None  # the decision
--- a/lynxreel/takeover/word.py
+++ b/lynxreel/takeover/word.py
@@ -26,14 +26,14 @@
 class DecisionStore:
     """Writes and reads ownership decisions."""
 
-    def __init__(self, word: DecisionConfig, life: int) -> None:
+    def __init__(self, config: DecisionConfig, life: int) -> None:
         """`life`: microseconds after which no replica is left that a decision applies to."""
-        self._client, self._prefix = Client(word.etcd), word.prefix
+        self._client, self._prefix = Client(config.etcd), config.prefix
         self._lease_seconds = math.ceil(life * LEASE_LIVES / 1e6)
         self._lease, self._leased_at = 0, -math.inf
         self._unavailable = False
 
-    async def write(self, pair: Pair, owner: bool) -> bool | None:
+    async def write(self, pair: Pair, as_owner: bool) -> bool | None:
         """Writes a decision unless there is one; returns whether the owner resumes, None if unknown now."""
         name = f"{pair.owner}/{pair.owner_incarnation}/{pair.keeper}/{pair.keeper_incarnation}/{pair.session}"
         key = f"{self._prefix}{name}".encode()
@@ -43,7 +43,7 @@
             if time.monotonic() - self._leased_at > self._lease_seconds / 2:
                 self._leased_at = time.monotonic()
                 self._lease = await self._client.grant(self._lease_seconds)
-            put = pb.PutRequest(key=key, value=OWNER if owner else KEEPER, lease=self._lease)
+            put = pb.PutRequest(key=key, value=OWNER if as_owner else KEEPER, lease=self._lease)
             get = pb.RequestOp(request_range=pb.RangeRequest(key=key))
             request = pb.TxnRequest(compare=[absent], success=[pb.RequestOp(request_put=put)], failure=[get])
             response = await self._client.transact(request)
@@ -54,7 +54,7 @@
             return None
         self._unavailable = False
         if response.succeeded:
-            return owner
+            return as_owner
         found = response.responses[0].response_range.kvs
         return found[0].value == OWNER if found else None
 
