--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("call", [COMMIT, LOOKUP], ids=["once", "repeatable"])
-def test_counter_and_etcd_are_unavailable_when_the_owner_is_killed(tmp_path: Path, call: list[str]) -> None:
+def test_counter_and_etcd_are_away_when_the_owner_is_killed(tmp_path: Path, call: list[str]) -> None:
     """No decision and no total can be read; a request that was at no box yet is resumed, once."""
 
     async def scenario() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -111,8 +111,8 @@
         async with group(tmp_path) as deployment:
             (gateway,) = deployment.gateways
             deployment.box_faults.on(Fault(Kind.SLOW, delay=1.0))
-            child_command_lines = await Caller.to(gateway)
-            child_command_lines.send("r1", "port-commit", patience=5_000)
+            caller = await Caller.to(gateway)
+            caller.send("r1", "port-commit", patience=5_000)
             await in_work(deployment, 1)
             deployment.box_faults.off()
             before = pids(gateway)
@@ -120,8 +120,8 @@
             await told(gateway, state="ready", pid=process.pid)
             assert not set(before) & set(pids(gateway))
             await assert_serves(gateway, "r2")
-            assert await child_command_lines.answer() == b"done r1"
-            assert await child_command_lines.answer() == b""
+            assert await caller.answer() == b"done r1"
+            assert await caller.answer() == b""
             assert await gateway.process.wait() == 0
             gateway.process = process
             assert not ran_twice(deployment)
