--- a/lynxreel/takeover/work.py
+++ b/lynxreel/takeover/work.py
@@ -65,7 +65,7 @@
 # Rounds in which all peers are asked before a request counts as not found: a replica may be in transit.
 LOOKUP_ROUNDS = 2
 LOOKUP_PAUSE = 20_000  # microseconds between these rounds
-RETRY_INTERVAL = 100_000  # microseconds after which a lookup is sent again
+RETRY_INTERVAL = 100_000  # microseconds after which a lookup or a failed proposal is sent again
 ANSWER_ACK = -1  # in place of an attempt number: the keeper acknowledges the answer itself
 KEY_MEMORY_MARGIN = 250_000  # microseconds of the boxes' key memory that must be left for a repeat
 
@@ -415,15 +415,17 @@
     def _send_lookup(self, now: int, token: int, lookup: Lookup) -> None:
         """Sends the lookup to each peer whose response is awaited, and concludes it if there is none."""
         lookup.retry_at = now + RETRY_INTERVAL
-        seeks = isinstance(lookup, KeyedLookup)
-        coordinator = self._coordinator(lookup.id) if seeks else ""
+        starts_if_absent = isinstance(lookup, KeyedLookup)
+        coordinator = self._coordinator(lookup.id) if starts_if_absent else ""
         for name in lookup.awaiting:
             if self._peers.peers[name].state is State.DEAD:
                 lookup.awaiting[name] = False
             elif lookup.awaiting[name]:
-                last = not seeks and lookup.round >= LOOKUP_ROUNDS
-                query = token, lookup.id, lookup.customer, lookup.round, last, lookup.mark
-                self._actions.append(SendMessage(name, LookupRequest(*query, seeks, name == coordinator)))
+                last_round = not starts_if_absent and lookup.round >= LOOKUP_ROUNDS
+                query = token, lookup.id, lookup.customer, lookup.round, last_round, lookup.mark
+                self._actions.append(
+                    SendMessage(name, LookupRequest(*query, starts_if_absent, name == coordinator))
+                )
         if isinstance(lookup, KeyedLookup):
             awaited = [
                 name
