--- a/lynxreel/engine/engine.py
+++ b/lynxreel/engine/engine.py
@@ -278,11 +278,11 @@
 
     def customer_usage(self, customer: int) -> dict[str, float]:
         """What the decision module knows of a customer's usage, for the operators."""
-        return view.believes(self._module, customer)
+        return view.customer_state(self._module, customer)
 
-    def zone_usage(self) -> dict[int, view.Use]:
+    def zone_usage(self) -> dict[int, view.ZoneLoad]:
         """By zone: this gateway's attempts in flight, and how many its servers can take from it at once."""
-        return view.use(self._module)
+        return view.zone_loads(self._module)
 
     def pending_requests(self) -> int:
         """Number of requests that wait for their final answer."""
