--- a/lynxreel/fronts/__init__.py
+++ b/lynxreel/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests come in."""
+"""Fronts: the listeners that clients connect to, each with its protocol."""
--- a/lynxreel/fronts/lingering.py
+++ b/lynxreel/fronts/lingering.py
@@ -1,9 +1,9 @@
-"""Lingering close: a client connection ends without taking away what the client has not read yet.
+"""Lingering close: ends a client connection without losing answers that the client has not read yet.
 
-Closing a socket in which received bytes lie unread makes the system send a reset, and what the client has
-not read by then may be lost to it: the last answer. So the sending side is shut down first, and what still
-arrives is read and discarded until the client closes or a limit is reached. A request that is discarded has
-not been taken: its client sees the end of the connection in place of an answer, and sends it again.
+Closing a socket with unread received bytes makes the system send a reset, and what the client has not read
+by then may be lost to it: the last answer. So the sending side is shut down first, and what still arrives
+is read and discarded until the client closes or a limit is reached. A discarded request has not been
+accepted: its client sees the end of the connection in place of an answer, and sends it again.
 """
 
 from __future__ import annotations
@@ -12,56 +12,56 @@
 import select
 from collections.abc import Callable
 
-LINGER_SECONDS = 1.0  # for the client to close its side, once all answers have left this process
-UNSENT_SECONDS = 2.5  # for answers to leave this process
-DISCARD_LIMIT = 1 << 20  # bytes; a client that goes on sending is cut off
+LINGER_SECONDS = 1.0  # for the client to close its side, once all answers have been sent
+UNSENT_SECONDS = 2.5  # for all answers to be sent
+DISCARD_LIMIT = 1 << 20  # bytes; a client that sends more is disconnected
 
 
 class LingeringClose(asyncio.Protocol):
-    """Takes a connection over from its protocol, and ends it."""
+    """Replaces a connection's protocol and closes the connection."""
 
     def __init__(
         self,
         transport: asyncio.Transport,
         loop: asyncio.AbstractEventLoop,
-        closed: Callable[[Exception | None], None],
+        on_closed: Callable[[Exception | None], None],
     ) -> None:
-        """`closed` is called once, when the connection has ended."""
-        self._transport, self._loop, self._closed = transport, loop, closed
+        """`on_closed` is called once, when the connection has ended."""
+        self._transport, self._loop, self._on_closed = transport, loop, on_closed
         self._discarded = 0
-        self._begun = loop.time()
+        self._started = loop.time()
         transport.set_protocol(self)
-        transport.write_eof()  # behind what has not been sent yet
+        transport.write_eof()  # sent after what is still buffered
         transport.resume_reading()
         self._timer = loop.call_later(LINGER_SECONDS, self._check)
 
     def data_received(self, data: bytes) -> None:
-        """Discard what comes too late."""
+        """Discard what arrives after the close."""
         self._discarded += len(data)
         if self._discarded > DISCARD_LIMIT:
             self._transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Report the end of the connection."""
         self._timer.cancel()
-        self._closed(error)
+        self._on_closed(error)
 
     def _check(self) -> None:
-        """Cut the connection off, unless answers are still on their way out and have time left."""
+        """Abort the connection, unless answers are still being sent and have time left."""
         unsent = self._transport.get_write_buffer_size() > 0
-        if unsent and self._loop.time() - self._begun < UNSENT_SECONDS:
+        if unsent and self._loop.time() - self._started < UNSENT_SECONDS:
             self._timer = self._loop.call_later(LINGER_SECONDS, self._check)
         else:
             self._transport.abort()
 
 
 def has_unread(transport: asyncio.Transport) -> bool:
-    """Whether bytes, or the client's close, wait to be read: closing now could reset the connection."""
+    """Whether bytes, or the client's close, are waiting to be read: closing now could cause a reset."""
     return _poll(transport, select.POLLIN)
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Whether the client has closed the connection, also where bytes before that have not been read."""
+    """Whether the client has closed the connection, even if bytes before that are unread."""
     return _poll(transport, select.POLLRDHUP)
 
 
--- a/lynxreel/fronts/listeners.py
+++ b/lynxreel/fronts/listeners.py
@@ -1,6 +1,6 @@
-"""Where a front's listeners come from: opened here, handed in by a service manager, or shared by workers.
+"""Listeners of fronts: opened here, passed in by a service manager, or shared between workers.
 
-systemd hands listeners in as `sd_listen_fds(3)` says: descriptors from 3 on, with LISTEN_PID and LISTEN_FDS.
+systemd passes listeners as `sd_listen_fds(3)` says: descriptors from 3 on, with LISTEN_PID and LISTEN_FDS.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from lynxreel.transient import SHORT, while_short
 
 BACKLOG = 1_024
-FIRST_DESCRIPTOR = 3  # where a service manager's begin
-SHORT_PAUSE = 0.1  # seconds without accepting after a want of descriptors or memory
-CLOSE_PAUSE = 0.01  # the same while the listener is being closed
-LAST_ACCEPTS = 0.1  # seconds in which that is tried again before the listener is closed over what waits
-TURN = 64  # connections that are taken before others have their turn
+FIRST_DESCRIPTOR = 3  # the first one that a service manager passes
+SHORTAGE_PAUSE = 0.1  # seconds without accepting after a shortage of descriptors or memory
+CLOSE_RETRY_PAUSE = 0.01  # the same while the listener is being closed
+CLOSE_RETRY_TIME = 0.1  # seconds of such retries before the listener is closed over what waits
+ACCEPTS_PER_TURN = 64  # connections accepted before other events have their turn
 Factory = Callable[[], asyncio.Protocol]
 
 
@@ -29,236 +29,236 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Its own address."""
 
     async def close(self) -> None:
-        """Take nothing new; what the system has accepted for this process alone is still served."""
+        """Accept nothing new; connections that the system has accepted for this process alone are served."""
 
     def drop(self) -> None:
         """Close at once."""
 
 
 class Doors(Protocol):
-    """How listeners are had."""
+    """Opens listeners."""
 
     async def open(self, address: Address, factory: Factory) -> Door:
-        """Take connections there from now on; an OSError where that can't be had."""
+        """Accept connections at an address from now on; raises OSError if that is impossible."""
 
 
 class Gate(Protocol):
-    """Says how many of the connections that wait at a shared listener this worker may take."""
+    """Limits how many waiting connections of a shared listener this worker accepts."""
 
     def take(self) -> int:
-        """How many to take now; 0: leave them for `pause` seconds."""
+        """Return how many to accept now; 0: accept none for `pause` seconds."""
 
     @property
     def pause(self) -> float:
         """Seconds."""
 
 
-class Open:
-    """A gate that is always open."""
+class NoAcceptLimit:
+    """No limit."""
 
     pause = 0.0
 
     def take(self) -> int:
-        """As many as fit into one turn of the loop."""
-        return TURN
+        """Return as many as are accepted in one turn of the loop."""
+        return ACCEPTS_PER_TURN
 
 
 class Accepting:
-    """Accepts connections from one listener, while it is open.
+    """Accepts connections from one listener while it is open.
 
-    The event loop's own accepting closes what waits where descriptors are short (EMFILE, ENFILE), and with it
-    requests that clients have written. Here that waits in the listener's queue until there is room again.
+    The event loop's own accept code closes waiting connections when descriptors are short (EMFILE, ENFILE),
+    which loses requests that clients have written. Here connections stay in the listener's queue meanwhile.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, own: socket.socket, factory: Factory, gate: Gate
+        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, factory: Factory, accept_limit: Gate
     ) -> None:
-        self._loop, self._own, self._factory, self._gate = loop, own, factory, gate
+        self._loop, self._socket, self._factory, self._accept_limit = loop, sock, factory, accept_limit
         self._timer: asyncio.TimerHandle | None = None
-        self._coming: set[asyncio.Task[object]] = set()
+        self._connecting: set[asyncio.Task[object]] = set()
         self._open = True
-        host, port = own.getsockname()[:2]
+        host, port = sock.getsockname()[:2]
         self.address: Address = (host, port)
-        own.setblocking(False)
-        self._look()
+        sock.setblocking(False)
+        self._watch()
 
-    def _look(self) -> None:
+    def _watch(self) -> None:
         self._timer = None
-        self._loop.add_reader(self._own, self._ready)
+        self._loop.add_reader(self._socket, self._ready)
 
     def _ready(self) -> None:
-        """Connections wait, or others have just taken them."""
-        for _ in range(most := self._gate.take()):
+        """Connections are waiting, or other processes have just accepted them."""
+        for _ in range(limit := self._accept_limit.take()):
             try:
                 if not self._accept():
                     return
-            except OSError as wrong:
-                log(f"no connection can be taken for now: {wrong.strerror}")
-                self._rest(SHORT_PAUSE)
+            except OSError as error:
+                log(f"no connection can be taken for now: {error.strerror}")
+                self._pause(SHORTAGE_PAUSE)
                 return
-        if not most:
-            self._rest(self._gate.pause)
+        if not limit:
+            self._pause(self._accept_limit.pause)
 
     def _accept(self) -> bool:
-        """Take the next connection; False where none waits. Raises an OSError of SHORT, which passes."""
+        """Accept the next connection; False if none waits. Raises OSError for a passing shortage (SHORT)."""
         try:
-            client, _ = self._own.accept()
+            client, _ = self._socket.accept()
         except BlockingIOError:
             return False
-        except OSError as wrong:
-            if wrong.errno in SHORT:
+        except OSError as error:
+            if error.errno in SHORT:
                 raise
-            return True  # this connection has failed already, as accept(2) tells; others may wait behind it
+            return True  # this connection has already failed, see accept(2); others may wait behind it
         client.setblocking(False)
         task = self._loop.create_task(self._loop.connect_accepted_socket(self._factory, client))
-        self._coming.add(task)
-        task.add_done_callback(self._came)
+        self._connecting.add(task)
+        task.add_done_callback(self._connected)
         return True
 
-    def _rest(self, seconds: float) -> None:
-        self._loop.remove_reader(self._own)
-        self._timer = self._loop.call_later(seconds, self._look)
+    def _pause(self, seconds: float) -> None:
+        self._loop.remove_reader(self._socket)
+        self._timer = self._loop.call_later(seconds, self._watch)
 
-    def _came(self, task: asyncio.Task[object]) -> None:
-        self._coming.discard(task)
+    def _connected(self, task: asyncio.Task[object]) -> None:
+        self._connecting.discard(task)
         if not task.cancelled():
-            task.exception()  # it has gone already; that is no news
+            task.exception()  # retrieved, so that asyncio logs nothing: the connection has ended
 
     def _stop(self) -> None:
-        """Look for no more connections."""
+        """Accept no more connections."""
         self._open = False
         if self._timer is not None:
             self._timer.cancel()
         else:
-            self._loop.remove_reader(self._own)
+            self._loop.remove_reader(self._socket)
 
-    async def _settle(self) -> None:
-        """Until all that has been taken is served."""
-        for task in list(self._coming):
+    async def _wait_until_connected(self) -> None:
+        """Wait until all accepted connections have their protocol."""
+        for task in list(self._connecting):
             await asyncio.wait([task])
 
     def drop(self) -> None:
         """Close at once."""
         if self._open:
             self._stop()
-            self._own.close()
+            self._socket.close()
 
 
 class OwnDoor(Accepting):
-    """A listener of this process, or one of a service manager's that it alone accepts from."""
+    """A listener of this process, or one from a service manager that only this process accepts from."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, own: socket.socket, factory: Factory, kept: bool
+        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, factory: Factory, held_elsewhere: bool
     ) -> None:
-        """`kept`: somebody else holds it, too, and what waits in its queue stays there."""
-        super().__init__(loop, own, factory, Open())
-        self._kept = kept
+        """`held_elsewhere`: somebody else holds it, too; connections in its queue are left there."""
+        super().__init__(loop, sock, factory, NoAcceptLimit())
+        self._held_elsewhere = held_elsewhere
 
     async def close(self) -> None:
-        """The system has accepted what waits for us, and its clients may have written a request.
+        """Accept what waits first: the system has accepted it for us, and clients may have written requests.
 
-        A connect that falls between the last look and the close is reset; that is a few microseconds.
+        A connect between the last accept and the close is reset; that is a few microseconds.
         """
         if not self._open:
             return
         self._stop()
-        last = self._loop.time() + LAST_ACCEPTS
-        while not self._kept:
+        deadline = self._loop.time() + CLOSE_RETRY_TIME
+        while not self._held_elsewhere:
             try:
-                for _ in range(2 * BACKLOG):  # more than wait there, if some of them have failed
+                for _ in range(2 * BACKLOG):  # more than wait there, even if some have failed
                     if not self._accept():
                         break
                 break
-            except OSError as wrong:
-                if self._loop.time() >= last:
-                    log(f"connections that wait are closed with the listener: {wrong.strerror}")
+            except OSError as error:
+                if self._loop.time() >= deadline:
+                    log(f"connections that wait are closed with the listener: {error.strerror}")
                     break
-                await asyncio.sleep(CLOSE_PAUSE)
-        self._own.close()
-        await self._settle()
+                await asyncio.sleep(CLOSE_RETRY_PAUSE)
+        self._socket.close()
+        await self._wait_until_connected()
 
 
 class OwnDoors:
-    """Listeners that this process opens, or that a service manager has opened for it."""
+    """Opens listeners in this process, or uses those that a service manager has opened for it."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, given: Mapping[Address, socket.socket] | None = None
+        self, loop: asyncio.AbstractEventLoop, passed_in: Mapping[Address, socket.socket] | None = None
     ) -> None:
-        self._loop, self._given = loop, given or {}
+        self._loop, self._passed_in = loop, passed_in or {}
 
     async def open(self, address: Address, factory: Factory) -> OwnDoor:
-        """Take connections there from now on; an OSError where that can't be had."""
-        given = self._given.get(address)
-        if given is not None:
-            own = duplicate(given)
+        """Accept connections at an address from now on; raises OSError if that is impossible."""
+        passed_in = self._passed_in.get(address)
+        if passed_in is not None:
+            sock = duplicate(passed_in)
         else:
-            own = await while_short(lambda: socket.create_server(address, backlog=BACKLOG))
-        return OwnDoor(self._loop, own, factory, kept=given is not None)
+            sock = await while_short(lambda: socket.create_server(address, backlog=BACKLOG))
+        return OwnDoor(self._loop, sock, factory, held_elsewhere=passed_in is not None)
 
 
 class SharedDoor(Accepting):
-    """A listener that several workers accept from: no more than its gate allows."""
+    """A listener that several workers accept from, each no more than its limit allows."""
 
     async def close(self) -> None:
-        """What waits in the queue is for the others."""
+        """Leave what waits in the queue to the other workers."""
         self.drop()
-        await self._settle()
+        await self._wait_until_connected()
 
 
 def activated(environment: MutableMapping[str, str] = os.environ) -> dict[Address, socket.socket]:
-    """Listeners that a service manager has handed in, by address; its variables are taken away.
+    """Return the listeners passed in by a service manager, by address, and remove its variables.
 
-    Raises ValueError where what it handed in is no TCP listener.
+    Raises ValueError if a descriptor is no TCP listener.
     """
-    meant, count = environment.pop("LISTEN_PID", ""), environment.pop("LISTEN_FDS", "")
+    for_pid, count = environment.pop("LISTEN_PID", ""), environment.pop("LISTEN_FDS", "")
     environment.pop("LISTEN_FDNAMES", None)
-    if meant != str(os.getpid()) or not count.isdigit():
-        return {}  # nothing, or meant for another process
+    if for_pid != str(os.getpid()) or not count.isdigit():
+        return {}  # none, or meant for another process
     found = {}
     for descriptor in range(FIRST_DESCRIPTOR, FIRST_DESCRIPTOR + int(count)):
-        own = listener(descriptor)
+        sock = listener(descriptor)
         os.set_inheritable(descriptor, False)
-        found[own.getsockname()[:2]] = own
+        found[sock.getsockname()[:2]] = sock
     return found
 
 
 def inherited(variable: str, environment: Mapping[str, str] = os.environ) -> socket.socket | None:
-    """The listener whose descriptor this variable tells, which whoever started this process goes on holding.
+    """Return the listener whose descriptor this variable holds; the parent process keeps it open, too.
 
-    None where there is no such variable; a ValueError where the descriptor is no TCP listener.
+    None without such a variable; raises ValueError if the descriptor is no TCP listener.
     """
-    told = environment.get(variable, "")
-    if not told:
+    value = environment.get(variable, "")
+    if not value:
         return None
-    if not told.isdigit():
-        raise ValueError(f"{variable}: {told!r} is no descriptor")
+    if not value.isdigit():
+        raise ValueError(f"{variable}: {value!r} is no descriptor")
     try:
-        own = listener(int(told))
-    except ValueError as wrong:
-        raise ValueError(f"{variable}: {wrong}") from None
-    own.set_inheritable(False)
-    return own
+        sock = listener(int(value))
+    except ValueError as error:
+        raise ValueError(f"{variable}: {error}") from None
+    sock.set_inheritable(False)
+    return sock
 
 
-def duplicate(own: socket.socket) -> socket.socket:
-    """A second descriptor of a listener that other processes may be accepting from.
+def duplicate(sock: socket.socket) -> socket.socket:
+    """Return a second descriptor of a listener that other processes may be accepting from.
 
-    `socket.dup` sets the blocking mode anew, which all who share the listener have in common: another process
-    that finds the queue empty at that moment would stand still in its accept.
+    `socket.dup` would set the blocking mode again, which all who share the listener have in common: another
+    process that finds the queue empty at that moment would block in its accept.
     """
-    return socket.socket(own.family, own.type, own.proto, fileno=os.dup(own.fileno()))
+    return socket.socket(sock.family, sock.type, sock.proto, fileno=os.dup(sock.fileno()))
 
 
 def listener(descriptor: int) -> socket.socket:
-    """The listener of a descriptor; a ValueError where it is none that a front can use."""
+    """Return the listener of a descriptor; raises ValueError if it is none that a front can use."""
     try:
-        own = socket.socket(fileno=descriptor)
-        listens = own.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-    except OSError as wrong:
-        raise ValueError(f"descriptor {descriptor} is no socket: {wrong.strerror}") from None
-    if own.family not in (socket.AF_INET, socket.AF_INET6) or own.type != socket.SOCK_STREAM or not listens:
+        sock = socket.socket(fileno=descriptor)
+        listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+    except OSError as error:
+        raise ValueError(f"descriptor {descriptor} is no socket: {error.strerror}") from None
+    if sock.family not in (socket.AF_INET, socket.AF_INET6) or sock.type != socket.SOCK_STREAM or not listens:
         raise ValueError(f"descriptor {descriptor} is no TCP listener")
-    return own
+    return sock
