--- a/lynxreel/fronts/draining.py
+++ b/lynxreel/fronts/draining.py
@@ -1,4 +1,4 @@
-"""The one way in which fronts lose their connections: for a while, as operators ask, or for good."""
+"""How fronts close their connections: for a while, at an operator's request, or for good."""
 
 from __future__ import annotations
 
@@ -8,90 +8,97 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-LOOK = 0.01  # seconds between looks for connections that nothing is owed on, while a front ends
-ASIDE_LOOK = 0.05  # the same for a front that is set aside, for as long as that lasts
-ASIDE_ANNOUNCE = 0.4  # seconds in which idle connections stay open then: whoever asks by PING learns first
-READ_ON = 0.15  # seconds after a drain's patience in which commands that have come are still read
+CHECK_INTERVAL = 0.01  # seconds between checks for connections that can be closed, in a shutdown
+SUSPENDED_CHECK_INTERVAL = 0.05  # the same while a front is suspended, which may last
+SUSPEND_ANNOUNCE_TIME = (
+    0.4  # seconds that idle connections then stay open: clients that send PING learn first
+)
+READ_PENDING_TIME = 0.15  # seconds after a drain's patience in which arrived requests are still read
 
 
-class Ending(Protocol):
-    """A connection."""
+class ClosableConnection(Protocol):
+    """A client connection that can be closed."""
 
-    def end(self, patient: bool = True, reads_on: bool = False) -> None:
-        """Close once nothing is owed.
+    def end(self, await_partial: bool = True, read_pending: bool = False) -> None:
+        """Close once no answer is pending.
 
-        While `patient`, what is half read may still be completed first. While it `reads_on`, what has come
-        whole is read first; after that it is closed over.
+        With `await_partial`, a partly received request may still be completed first. With `read_pending`,
+        requests that have arrived complete are read first; without it the connection is closed over them.
         """
 
 
 @dataclass(frozen=True)
 class DrainTimes:
-    """How a front ends, in seconds from the close of its listeners."""
+    """The times of a front's shutdown, in seconds from the close of its listeners."""
 
-    announce: float  # idle connections are left open: whoever asks on one learns by the answer
-    patience: float  # what is half read may still be completed
-    cut_off: float  # the drain ends, whatever is left
+    announce: float  # idle connections stay open until then: clients that use them learn by the answer
+    patience: float  # partly received requests may be completed until then
+    cut_off: float  # the drain ends, even if connections are left
 
     @property
-    def read_on(self) -> float:
-        """Commands that have come are read until then. It leaves clients a moment to close their side."""
-        return min(self.patience + READ_ON, (self.patience + self.cut_off) / 2)
+    def read_until(self) -> float:
+        """Until then, requests that have arrived are read. Leaves clients a moment to close their side."""
+        return min(self.patience + READ_PENDING_TIME, (self.patience + self.cut_off) / 2)
 
 
 class Front(Protocol):
-    """What has connections."""
+    """A front, as far as draining needs it."""
 
     @property
-    def connections(self) -> Collection[Ending]:
-        """Those that are open."""
+    def connections(self) -> Collection[ClosableConnection]:
+        """The open connections."""
 
 
 class Draining:
-    """What becomes of a front's connections. While `closing`, each ends behind the last answer owed on it."""
+    """Closes a front's connections. While `closing`, each is closed after the last answer pending on it."""
 
     def __init__(self, front: Front, loop: asyncio.AbstractEventLoop) -> None:
         self._front, self._loop = front, loop
         self.closing = False
-        self._patient = self._reads_on = True
-        self._aside: asyncio.Task[None] | None = None
+        self._await_partial = self._read_pending = True
+        self._suspend_task: asyncio.Task[None] | None = None
 
     def set_aside(self) -> None:
-        """Connections end, new ones as well, until `take_back`."""
-        if self._aside is None:
-            times = DrainTimes(ASIDE_ANNOUNCE, math.inf, math.inf)
-            self._aside = self._loop.create_task(self._empty(times, ASIDE_LOOK))
+        """Close connections, new ones too, until `resume`."""
+        if self._suspend_task is None:
+            times = DrainTimes(SUSPEND_ANNOUNCE_TIME, math.inf, math.inf)
+            self._suspend_task = self._loop.create_task(
+                self._close_connections(times, SUSPENDED_CHECK_INTERVAL)
+            )
 
     def take_back(self) -> None:
-        """They stay open from now on."""
-        if self._aside is not None:
-            self._aside.cancel()
-            self._aside, self.closing = None, False
+        """Stop closing connections."""
+        if self._suspend_task is not None:
+            self._suspend_task.cancel()
+            self._suspend_task, self.closing = None, False
 
-    def end(self, connection: Ending) -> None:
-        """Close a connection once nothing is owed on it, as patiently as the drain is by now."""
-        connection.end(self._patient, self._reads_on)
+    def end(self, connection: ClosableConnection) -> None:
+        """Close a connection once no answer is pending, with as much waiting as the drain still allows."""
+        connection.end(self._await_partial, self._read_pending)
 
-    async def empty(self, times: DrainTimes) -> None:
-        """Until no connection is left, or until these times are over; the front takes no new ones any more.
+    async def drain(self, times: DrainTimes) -> None:
+        """Close all connections of a front that accepts no new ones; return when none is left or time is up.
 
-        While the drain is announced a connection ends only behind an answer, so that whoever asks on one
-        is told, by the answer to a ping or to the request that would have crossed its end.
+        While the drain is announced, a connection is closed only after an answer. So whoever asks on one is
+        notified, by the answer to a ping or to the request that would have crossed the close.
         """
         self.take_back()
-        await self._empty(times, LOOK)
+        await self._close_connections(times, CHECK_INTERVAL)
 
-    async def _empty(self, times: DrainTimes, look: float) -> None:
-        self.closing = self._patient = self._reads_on = True
-        begun, last = self._loop.time(), self._loop.time() + times.cut_off
+    async def _close_connections(self, times: DrainTimes, interval: float) -> None:
+        self.closing = self._await_partial = self._read_pending = True
+        started, deadline = self._loop.time(), self._loop.time() + times.cut_off
         await asyncio.sleep(min(times.announce, times.patience))
-        while (now := self._loop.time()) < last and (self._front.connections or last == math.inf):
-            self._patient, self._reads_on = now - begun < times.patience, now - begun < times.read_on
+        while (now := self._loop.time()) < deadline and (self._front.connections or deadline == math.inf):
+            self._await_partial, self._read_pending = (
+                now - started < times.patience,
+                now - started < times.read_until,
+            )
             for connection in list(self._front.connections):
                 self.end(connection)
-            await asyncio.sleep(look)
+            await asyncio.sleep(interval)
 
     def close(self) -> None:
-        """The end of the process."""
-        if self._aside is not None:
-            self._aside.cancel()
+        """Cancel what is running; the process ends."""
+        if self._suspend_task is not None:
+            self._suspend_task.cancel()
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 clients: a listener, requests that are whole, answers in order.
+"""The HTTP/1.1 front: listeners, client connections and requests; each connection is answered in order.
 
-h11 reads and writes the messages, one `h11.Connection` for each request, so that not a byte of the next one
-is taken before this one is answered. Before that the head is held against what readers differ on: bare line
-feeds, folded lines, NUL, spaces before colons, more than one framing. What is in doubt gets one answer and
-the end of the connection.
+h11 reads and writes the messages, with one `h11.Connection` for each request, so that not a byte of the next
+request is parsed before this one is answered. Before that, the head is checked for what parsers disagree on:
+bare line feeds, folded lines, NUL, spaces before colons, more than one framing. An ambiguous request gets one
+answer, and the connection is closed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from lynxreel.engine.engine import Desk
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
-from lynxreel.fronts.forwarded import Network, told
+from lynxreel.fronts.forwarded import Network, forwarded_field
 from lynxreel.fronts.lingering import LingeringClose, has_unread
 from lynxreel.fronts.listeners import Door, Doors, OwnDoors
 from lynxreel.openapi.admission import Admission, Head, Rejected, Whole
@@ -34,122 +34,128 @@
 from lynxreel.protocol.exchange import WAIT, Answer, Exchange, Fields, pack
 from lynxreel.relay.stream import Stream
 
-MOST_HEAD = 16_384  # bytes of a request's head
-MOST_HEADERS = 100
-MOST_BODY = 65_000  # bytes: what a box takes in one string, less what goes round it
-MOST_AHEAD = 65_536  # bytes of later requests that are read while one is served
-PATIENCE = 2.0  # seconds for a head, for a body, and for reading an answer
-IDLE = 15.0  # seconds without a request after which a connection ends
-SWEEP = 0.25  # seconds between looks for those that have used that up
-LINE = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n\0]*")
-START = re.compile(rb"[A-Z]{1,20} [!-~]{1,8000} HTTP/1\.[01]")
-TRACE = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
-REQUEST_ID = re.compile(r"[0-9A-Za-z._:-]{1,64}")
+MAX_HEAD_BYTES = 16_384  # bytes of a request's head
+MAX_HEADERS = 100
+MAX_BODY_BYTES = 65_000  # bytes: what a box accepts in one string, less what is added to the body
+MAX_BUFFERED_BYTES = 65_536  # bytes of later requests that are buffered while one is served
+CLIENT_TIMEOUT = 2.0  # seconds to send a head, to send a body, and to read an answer
+IDLE_TIMEOUT = 15.0  # seconds without a request after which a connection is closed
+SWEEP_INTERVAL = 0.25  # seconds between checks for expired timeouts
+HEADER_LINE_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n\0]*")
+REQUEST_LINE_PATTERN = re.compile(rb"[A-Z]{1,20} [!-~]{1,8000} HTTP/1\.[01]")
+TRACEPARENT_PATTERN = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
+REQUEST_ID_PATTERN = re.compile(r"[0-9A-Za-z._:-]{1,64}")
 
 
 @dataclass(frozen=True)
 class Serving:
-    """What requests are served by: a table and its terms, and who may speak for clients."""
+    """What the front serves requests with: the routing table and its terms, names for boxes, and so on."""
 
     admission: Admission
     repeats: Repeats
-    spread: int  # gateways that a customer's requests come through
-    classes: tuple[bytes, ...] = ()  # names by place, for boxes; likewise plans
+    spread: int  # number of gateways that receive a customer's requests
+    classes: tuple[bytes, ...] = ()  # names by index, for boxes; likewise plans
     plans: tuple[bytes, ...] = ()
     policies: tuple[str, ...] = ()  # by plan: its RateLimit-Policy, empty for none
     digest: str = ""  # of the description
-    proxies: tuple[Network, ...] = ()  # whose word on where a request came from is believed
+    proxies: tuple[Network, ...] = ()  # which are trusted to state where a request came from
 
 
 @dataclass(frozen=True)
 class Plan:
-    """Where HTTP is served, and how."""
+    """Where HTTP is served, and by what."""
 
     listen: tuple[Address, ...]
     serving: Serving
 
     @property
     def http_boxes(self) -> bool:
-        """Boxes speak HTTP, by the description; else RESP2."""
+        """Whether boxes speak HTTP, according to the description; else RESP2."""
         return self.serving.admission.table.http_boxes
 
     def front(
-        self, engine: Desk, most: int, loop: asyncio.AbstractEventLoop, doors: Doors, back: bool
+        self,
+        engine: Desk,
+        max_connections: int,
+        loop: asyncio.AbstractEventLoop,
+        listener_factory: Doors,
+        back: bool,
     ) -> Web:
-        """The front, which listens nowhere yet; `most` connections. `back`: clients may come back."""
-        return Web(engine, self.serving, most, loop, doors, back)
+        """Create the front, which does not listen yet. `back`: clients may resume requests."""
+        return Web(engine, self.serving, max_connections, loop, listener_factory, back)
 
 
 class Call:
     """One request, as the engine sees it."""
 
-    __slots__ = ("back", "cls", "connection", "customer", "first", "id", "mark", "patience", "plan", "repeat",
-                 "request", "retry", "seeks", "serving", "spread", "started", "units", "whole")  # fmt: skip
+    __slots__ = ("back", "cls", "connection", "customer", "first", "id", "mark", "patience", "plan",
+                 "idempotency_key", "request", "retry", "seeks", "serving", "spread", "started", "units",
+                 "whole")  # fmt: skip
 
     def __init__(
-        self, connection: Connection, whole: Whole, serving: Serving, number: bytes, back: bool
+        self, connection: Connection, whole: Whole, serving: Serving, call_id: bytes, back: bool
     ) -> None:
         head = whole.head
         self.connection, self.whole, self.serving = connection, whole, serving
-        self.id, self.customer, self.cls, self.plan = number, head.customer, head.cls, head.plan
+        self.id, self.customer, self.cls, self.plan = call_id, head.customer, head.cls, head.plan
         self.units, self.patience = whole.units, head.patience
         self.spread, self.first, self.retry = serving.spread, 0, False
         self.request = 0
-        self.repeat, self.mark = "", b""  # the Idempotency-Key that it runs under here, and what is asked
+        self.idempotency_key, self.mark = "", b""  # the key if it is tracked here; a digest of the request
         self.back, self.seeks = back, False
-        self.started = connection.web.loop.time()
+        self.started = connection.front.loop.time()
 
     def command(self, wait: int) -> bytes:
-        """The command for a box: CALL.POST, whose last string says what was asked (docs/openapi.md)."""
+        """Return the command for a box: CALL.POST, whose last string has the request (docs/openapi.md)."""
         payload = self.whole.payload
-        if trace := self.connection.trace():
+        if trace := self.connection.traceparent():
             payload = b'%b,"traceparent":"%b"}' % (payload[:-1], trace.encode())
         return resp.pack([*self._strings(payload, max(1, wait // 1_000))])
 
     def _strings(self, payload: bytes, wait: int) -> tuple[bytes, ...]:
-        """The command's strings; `wait` in milliseconds."""
+        """Return the command's strings; `wait` in milliseconds."""
         names = self.serving.classes[self.cls], self.serving.plans[self.plan]
         terms = b"c=%b,t=%b,d=%d,units=%g" % (*names, wait, self.units)
         return b"CALL.POST", b"%016x" % self.customer, self.id, terms, payload
 
     def exchange(self, wait: int) -> Exchange:
-        """The request for a box that speaks HTTP: written anew, with whose it is and what it costs."""
+        """Return the request for a box that speaks HTTP, with fields for its customer, class and cost."""
         head = self.whole.head
         boxes = head.route.boxes
         assert boxes is not None
         names = self.serving.classes[self.cls].decode(), self.serving.plans[self.plan].decode()
         fields = [
-            *head.fields, ("Forwarded", self.connection.came_from(self.serving.proxies)),
+            *head.fields, ("Forwarded", self.connection.forwarded_field(self.serving.proxies)),
             ("Lynxreel-Customer", f"{self.customer:016x}"), ("Lynxreel-Class", names[0]),
             ("Lynxreel-Plan", names[1]), ("Lynxreel-Units", f"{self.units:g}"),
             (WAIT, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
         ]  # fmt: skip
         fields += [("Idempotency-Key", self.id.decode())] if head.key else []
         fields += [("Content-Type", self.whole.kind)] if self.whole.body and self.whole.kind else []
-        how = boxes.host, boxes.turned_away
-        return Exchange(head.route.method, head.target, tuple(fields), self.whole.body, *how)
+        box_details = boxes.host, boxes.turned_away
+        return Exchange(head.route.method, head.target, tuple(fields), self.whole.body, *box_details)
 
     def served(self, value: bytes | Stream, again: bool = False) -> None:
         """Answer with a box's value."""
-        assert isinstance(value, bytes)  # as `streams` says
+        assert isinstance(value, bytes)  # as `streams` is false
         if isinstance(value, Answer):
-            kind = next((text for name, text in value.fields if name == "Content-Type"), "")
+            content_type = next((text for name, text in value.fields if name == "Content-Type"), "")
             fields = tuple(pair for pair in value.fields if pair[0] != "Content-Type")
-            self._end(value.status, kind, value, fields, True, again)
+            self._finish(value.status, content_type, value, fields, True, again)
         else:
-            self._end(200, _kind(value), value, (), True, again)
+            self._finish(200, _guess_content_type(value), value, (), True, again)
 
-    streams = False  # what a client gets by HTTP has its length and its end known
+    streams = False  # an HTTP answer has a known length and a known end
     counted = sent = False
 
     def portable(self) -> tuple[bytes, ...]:
-        """The strings of its command, or of what a box is asked over HTTP."""
+        """Return the strings of its command, or of the request for a box that speaks HTTP."""
         if self.whole.head.route.boxes is not None:
             return pack(self.exchange(self.patience * 1_000))
         return self._strings(self.whole.payload, self.patience)
 
     def refused(self, wait: int) -> None:
-        """Answer that it may come again, after so many microseconds if not 0."""
+        """Answer that the client may retry, after `wait` microseconds if not 0."""
         headers: dict[str, str] = {}
         policies = self.serving.policies
         policy = policies[self.plan] if self.plan < len(policies) else ""
@@ -159,71 +165,73 @@
         if policy:
             headers["RateLimit-Policy"] = policy
             headers["RateLimit"] = f"{policy.partition(';')[0]};r=0" + (f";t={seconds}" if wait > 0 else "")
-        self._end(429, PROBLEM, problem(429, "Too many requests", ""), tuple(headers.items()))
+        self._finish(429, PROBLEM_TYPE, problem_body(429, "Too many requests", ""), tuple(headers.items()))
 
     def failed(self) -> None:
-        """Answer that it failed: its time is up, or no box could be had."""
-        late = self.connection.web.loop.time() - self.started >= self.patience / 1e3 - 0.1
-        status = 504 if late else 503
-        self._end(status, PROBLEM, problem(status, "No answer in time" if late else "No box", ""))
+        """Answer that the request failed: its time is up, or no box was available."""
+        timed_out = self.connection.front.loop.time() - self.started >= self.patience / 1e3 - 0.1
+        status = 504 if timed_out else 503
+        self._finish(
+            status, PROBLEM_TYPE, problem_body(status, "No answer in time" if timed_out else "No box", "")
+        )
 
     def unknown(self) -> None:
-        """Answer that it may have run, and will not run again."""
-        told = "it may have run before its gateway was lost, and is not run again"
-        self._end(500, PROBLEM, problem(500, "Outcome unknown", told))
+        """Answer that the request may have run and will not be run again."""
+        detail = "it may have run before its gateway was lost, and is not run again"
+        self._finish(500, PROBLEM_TYPE, problem_body(500, "Outcome unknown", detail))
 
     def clash(self) -> None:
-        """Answer that its id is that of another request."""
-        self._end(*OTHER)
+        """Answer that its id is in use by another request."""
+        self._finish(*KEY_REUSED_ANSWER)
 
-    def _end(
+    def _finish(
         self,
         status: int,
-        kind: str,
+        content_type: str,
         body: bytes,
         headers: Fields = (),
-        box: bool = False,
-        again: bool = False,
+        from_box: bool = False,
+        replayed: bool = False,
     ) -> None:
-        """Answer; `box`: as a box did; `again`: to another request under its key."""
+        """Answer. `from_box`: with a box's answer; `replayed`: with that to another request under its key."""
         self.request = 0
-        if self.repeat:
-            # What was refused or failed may be tried again under its key; the box is sent the same id.
-            kept = (status, kind, body, headers) if box else None
-            now, head = self.connection.web.loop.time(), self.whole.head
-            self.serving.repeats.end(now, self.customer, head.route.id, self.repeat, kept)
-            headers = (*headers, REPLAYED) if again else headers
-        self.connection.answer(status, kind, body, headers)
+        if self.idempotency_key:
+            # A request that was refused or failed may be retried under its key; boxes get the same id.
+            stored = (status, content_type, body, headers) if from_box else None
+            now, head = self.connection.front.loop.time(), self.whole.head
+            self.serving.repeats.end(now, self.customer, head.route.id, self.idempotency_key, stored)
+            headers = (*headers, REPLAYED_FIELD) if replayed else headers
+        self.connection.answer(status, content_type, body, headers)
 
 
-EMPTY = (204, 304)  # statuses whose answers have no body
-STATUSES = {status.value for status in HTTPStatus}
-PROBLEM = "application/problem+json"
+BODILESS_STATUSES = (204, 304)  # statuses of answers without a body
+KNOWN_STATUSES = {status.value for status in HTTPStatus}
+PROBLEM_TYPE = "application/problem+json"
 
 
-def problem(status: int, title: str, detail: str) -> bytes:
-    """A body after RFC 9457."""
-    told = {"type": "about:blank", "title": title, "status": status}
-    return json.dumps({**told, "detail": detail} if detail else told).encode()
+def problem_body(status: int, title: str, detail: str) -> bytes:
+    """Return a problem body (RFC 9457)."""
+    members = {"type": "about:blank", "title": title, "status": status}
+    return json.dumps({**members, "detail": detail} if detail else members).encode()
 
 
-USED = "Another request", "this Idempotency-Key was used for a different request"
-OTHER = 422, PROBLEM, problem(422, *USED)
-REPLAYED = ("Idempotency-Replayed", "true")
+KEY_REUSED = "Another request", "this Idempotency-Key was used for a different request"
+KEY_REUSED_ANSWER = 422, PROBLEM_TYPE, problem_body(422, *KEY_REUSED)
+REPLAYED_FIELD = ("Idempotency-Replayed", "true")
 
 
-def _kind(value: bytes) -> str:
+def _guess_content_type(value: bytes) -> str:
     return "application/json" if value[:1] in (b"{", b"[", b'"') else "application/octet-stream"
 
 
 class Connection(asyncio.Protocol):
     """One client connection."""
 
-    def __init__(self, web: Web) -> None:
-        self.web = web
+    def __init__(self, front: Web) -> None:
+        self.front = front
         self.transport: asyncio.Transport
         self._buffer = bytearray()
-        self._http: h11.Connection | None = None  # of the request that is being read or served
+        self._h11: h11.Connection | None = None  # of the request that is being read or served
         self._head: Head | None = None
         self._headers: dict[str, str] = {}
         self._body = bytearray()
@@ -231,343 +239,354 @@
         self._method = ""
         self._request_id = ""
         self._peer = ""
-        self._since = web.loop.time()  # of what is owed by the client now
-        self._owes = True
-        self._fresh = True  # nothing has come on it
-        self._history = ConnectionHistory.NEW  # before the bytes that are being read
-        self._unread = self._ending = self._paused = False
-        self._lingering = False  # it is being closed: what still comes is discarded
+        self._waiting_since = front.loop.time()  # when the current wait for the client began
+        self._awaiting_request = True
+        self._nothing_received = True  # no byte received yet
+        self._history = ConnectionHistory.NEW  # as of before the bytes that are being read
+        self._answers_unread = self._input_closed = self._reading_paused = False
+        self._lingering = False  # it is being closed: what still arrives is discarded
 
     # --- reading ----------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has come."""
+        """Register a new connection."""
         self.transport = cast(asyncio.Transport, transport)
         self._peer = str(transport.get_extra_info("peername")[0])
-        self.web.add(self)
+        self.front.add(self)
 
-    def trace(self) -> str:
-        """The traceparent of the request that is served; empty where it has none that is one."""
-        shown = self._headers.get("traceparent", "")
-        return shown if TRACE.fullmatch(shown) else ""
+    def traceparent(self) -> str:
+        """The traceparent of the current request; empty if it has no valid one."""
+        value = self._headers.get("traceparent", "")
+        return value if TRACEPARENT_PATTERN.fullmatch(value) else ""
 
-    def came_from(self, proxies: tuple[Network, ...]) -> str:
-        """Where the request that is served came from, for a box."""
-        return told(self._peer, self._headers, proxies)
+    def forwarded_field(self, proxies: tuple[Network, ...]) -> str:
+        """Return the Forwarded field for the current request."""
+        return forwarded_field(self._peer, self._headers, proxies)
 
     def data_received(self, data: bytes) -> None:
-        """Read what is whole; keep the rest, within bounds."""
-        if self._ending:
+        """Read complete requests; buffer the rest, within bounds."""
+        if self._input_closed:
             return
-        if self.web.report is not None:
-            self._history = self._state()
-        self._fresh = False
+        if self.front.report is not None:
+            self._history = self._current_history()
+        self._nothing_received = False
         self._buffer += data
         self._read()
-        if len(self._buffer) > MOST_AHEAD and not self._paused and not self.transport.is_closing():
-            self._paused = True
+        if (
+            len(self._buffer) > MAX_BUFFERED_BYTES
+            and not self._reading_paused
+            and not self.transport.is_closing()
+        ):
+            self._reading_paused = True
             self.transport.pause_reading()
 
-    def _state(self) -> ConnectionHistory:
-        """What this connection has carried so far."""
-        if self._fresh:
+    def _current_history(self) -> ConnectionHistory:
+        """Return what this connection has carried so far."""
+        if self._nothing_received:
             return ConnectionHistory.NEW
         if self._call is not None:
             return ConnectionHistory.BUSY
-        half = self._buffer or self._http is not None
-        return ConnectionHistory.HALF_READ if half else ConnectionHistory.RESTING
+        partly_read = self._buffer or self._h11 is not None
+        return ConnectionHistory.HALF_READ if partly_read else ConnectionHistory.RESTING
 
     def _read(self) -> None:
-        while self._call is None and not self._ending and not self._unread and self._buffer:
-            if self._http is None and not self._begin():
+        while self._call is None and not self._input_closed and not self._answers_unread and self._buffer:
+            if self._h11 is None and not self._read_head():
                 return
-            if not self._go_on():
+            if not self._read_body():
                 return
 
-    def _begin(self) -> bool:
-        """The head of the next request, once it is whole; false where there is no more to do."""
-        while self._buffer[:2] == b"\r\n":  # some clients end a body with a line of their own
+    def _read_head(self) -> bool:
+        """Read the head of the next request; False if it is incomplete or has been rejected."""
+        while self._buffer[:2] == b"\r\n":  # some clients send a line end after a body
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
-        if end < 0 and len(self._buffer) <= MOST_HEAD and b"\n\n" not in self._buffer:
-            if self._buffer and not self._owes:
-                self._owes, self._since = True, self.web.loop.time()
+        if end < 0 and len(self._buffer) <= MAX_HEAD_BYTES and b"\n\n" not in self._buffer:
+            if self._buffer and not self._awaiting_request:
+                self._awaiting_request, self._waiting_since = True, self.front.loop.time()
             return False
-        if end < 0 or end > MOST_HEAD:
-            large = len(self._buffer) > MOST_HEAD
-            self._fatal(431 if large else 400, "Head too large" if large else "Bad line ends")
+        if end < 0 or end > MAX_HEAD_BYTES:
+            too_large = len(self._buffer) > MAX_HEAD_BYTES
+            self._reject_and_close(
+                431 if too_large else 400, "Head too large" if too_large else "Bad line ends"
+            )
             return False
         head = bytes(self._buffer[: end + 4])
         del self._buffer[: end + 4]
-        if (wrong := _doubt(head)) is not None:
-            self._fatal(*wrong)
+        if (rejection := _check_head(head)) is not None:
+            self._reject_and_close(*rejection)
             return False
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD + MOST_BODY)
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES + MAX_BODY_BYTES)
         self._body.clear()
         self._head = None
-        self._owes, self._since = True, self.web.loop.time()  # the body, from now on
+        self._awaiting_request, self._waiting_since = True, self.front.loop.time()  # from now on for the body
         try:
-            self._http.receive_data(head)
-            request = self._http.next_event()
-        except h11.RemoteProtocolError as wrong_message:
-            self._fatal(wrong_message.error_status_hint, "Bad request", str(wrong_message))
+            self._h11.receive_data(head)
+            request = self._h11.next_event()
+        except h11.RemoteProtocolError as error:
+            self._reject_and_close(error.error_status_hint, "Bad request", str(error))
             return False
         assert isinstance(request, h11.Request)
-        return self._start(request)
+        return self._evaluate_head(request)
 
-    def _start(self, request: h11.Request) -> bool:
-        """What the head says; false where the request has had its answer."""
+    def _evaluate_head(self, request: h11.Request) -> bool:
+        """Evaluate the head; False if the request has been answered."""
         self._method = request.method.decode()
-        self._headers = headers = _folded(request)
-        shown = headers.get("x-request-id", "")
-        self._request_id = shown if REQUEST_ID.fullmatch(shown) else secrets.token_hex(8)
+        self._headers = headers = _joined_headers(request)
+        value = headers.get("x-request-id", "")
+        self._request_id = value if REQUEST_ID_PATTERN.fullmatch(value) else secrets.token_hex(8)
         target = request.target.decode("ascii")
         try:
-            if self._method == "OPTIONS" and self._options(target):
+            if self._method == "OPTIONS" and self._answer_options(target):
                 return False
             if self._method == "CONNECT" or not target.startswith("/"):
                 raise Rejected(501 if self._method == "CONNECT" else 400, "Not served")
             length = headers.get("content-length", "0")
-            if len(length) > 12 or int(length) > MOST_BODY:
-                raise Rejected(413, "Body too large", f"{MOST_BODY} bytes at most")
+            if len(length) > 12 or int(length) > MAX_BODY_BYTES:
+                raise Rejected(413, "Body too large", f"{MAX_BODY_BYTES} bytes at most")
             if headers.get("expect", "100-continue").lower() != "100-continue":
                 raise Rejected(417, "Unknown expectation")
-            self._head = self.web.serving.admission.head(self._method, target, headers)
-        except Rejected as wrong:
-            self._reject(wrong)
+            self._head = self.front.serving.admission.head(self._method, target, headers)
+        except Rejected as error:
+            self._reject(error)
             return False
-        http = self._http
-        assert http is not None
-        if http.they_are_waiting_for_100_continue:
-            self.transport.write(http.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
+        h11_connection = self._h11
+        assert h11_connection is not None
+        if h11_connection.they_are_waiting_for_100_continue:
+            self.transport.write(
+                h11_connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
+            )
         return True
 
-    def _options(self, target: str) -> bool:
-        """Answer OPTIONS, unless the description serves it itself."""
-        admission = self.web.serving.admission
+    def _answer_options(self, target: str) -> bool:
+        """Answer OPTIONS, unless the description has it as an operation."""
+        admission = self.front.serving.admission
         try:
             segments = split(target.partition("?")[0]) if target != "*" else []
-        except BadPath as wrong:
-            raise Rejected(400, "Bad path", str(wrong)) from None
+        except BadPath as error:
+            raise Rejected(400, "Bad path", str(error)) from None
         if segments and "OPTIONS" in admission.table.allowed(segments):
             return False
         allowed = admission.allowed(segments)
         if segments and not allowed:
             raise Rejected(404, "No such path")
-        self._skip_body({"Allow": ", ".join(allowed or ["OPTIONS"])}, 204)
+        self._answer_without_body({"Allow": ", ".join(allowed or ["OPTIONS"])}, 204)
         return True
 
-    def _go_on(self) -> bool:
-        """The body; false while more of it is wanted, or where the request has had its answer."""
-        http, head = self._http, self._head
-        assert http is not None and head is not None
+    def _read_body(self) -> bool:
+        """Read the body; False if more of it is needed or the request has been answered."""
+        h11_connection, head = self._h11, self._head
+        assert h11_connection is not None and head is not None
         if self._buffer:
-            http.receive_data(bytes(self._buffer))
+            h11_connection.receive_data(bytes(self._buffer))
             self._buffer.clear()
         try:
             while True:
-                event = http.next_event()
+                event = h11_connection.next_event()
                 if event is h11.NEED_DATA:
                     return False
                 if isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > MOST_BODY:
-                        self._fatal(413, "Body too large", f"{MOST_BODY} bytes at most")
+                    if len(self._body) > MAX_BODY_BYTES:
+                        self._reject_and_close(413, "Body too large", f"{MAX_BODY_BYTES} bytes at most")
                         return False
                 elif isinstance(event, h11.EndOfMessage):
                     break
-        except h11.RemoteProtocolError as wrong:
-            self._fatal(wrong.error_status_hint, "Bad body", str(wrong))
+        except h11.RemoteProtocolError as error:
+            self._reject_and_close(error.error_status_hint, "Bad body", str(error))
             return False
-        self._buffer[:0] = http.trailing_data[0]
+        self._buffer[:0] = h11_connection.trailing_data[0]
         self._submit(head)
         return True
 
     def _submit(self, head: Head) -> None:
-        serving = self.web.serving
-        self._owes = False
+        serving = self.front.serving
+        self._awaiting_request = False
         try:
             whole = serving.admission.whole(head, self._headers.get("content-type", ""), bytes(self._body))
-            call = Call(self, whole, serving, self._number(head), self._back())
-            if head.key and not self._repeat(call, whole):
+            call = Call(self, whole, serving, self._call_id(head), self._is_resumed())
+            if head.key and not self._is_to_run(call, whole):
                 return
             self._call = call
-            call.request = self.web.engine.submit(call)
+            call.request = self.front.engine.submit(call)
             if not call.request:
                 self._call = None
                 raise Rejected(409, "Running", "a request under this id is open")
-            if (report := self.web.report) is not None:
+            if (report := self.front.report) is not None:
                 report.request_read(call.id, call.cls, self._history, call.patience / 1e3)
-        except Rejected as wrong:
-            self._reject(wrong, read=True)
+        except Rejected as error:
+            self._reject(error, body_read=True)
 
-    def _back(self) -> bool:
-        """Whether its client has asked for it before, and comes back for it."""
-        told = self._headers.get("lynxreel-back", "0")
-        if told not in ("0", "1"):
+    def _is_resumed(self) -> bool:
+        """Whether the client resumes a request that it has sent before."""
+        value = self._headers.get("lynxreel-back", "0")
+        if value not in ("0", "1"):
             raise Rejected(400, "Bad Lynxreel-Back", "0 or 1 is wanted")
-        if told == "1" and not self.web.back:
+        if value == "1" and not self.front.back:
             raise Rejected(400, "Bad Lynxreel-Back", "work in hand is not kept for others here")
-        return told == "1"
+        return value == "1"
 
-    def _number(self, head: Head) -> bytes:
-        """An id of this request's own; under an Idempotency-Key, the same for all its repeats."""
-        named = self._headers.get("lynxreel-request", "") if self.web.back else ""
-        if named and not REQUEST_ID.fullmatch(named):
+    def _call_id(self, head: Head) -> bytes:
+        """Return the id for engine and boxes; all repeats under an Idempotency-Key have the same one."""
+        client_id = self._headers.get("lynxreel-request", "") if self.front.back else ""
+        if client_id and not REQUEST_ID_PATTERN.fullmatch(client_id):
             raise Rejected(400, "Bad Lynxreel-Request", "1 to 64 letters, digits, dots, colons, - and _")
         if not head.key:
-            return named.encode() or b"h" + secrets.token_hex(12).encode()
+            return client_id.encode() or b"h" + secrets.token_hex(12).encode()
         text = f"{head.customer:x}/{head.route.id}/{head.key}"
         return b"k" + hashlib.sha256(text.encode()).hexdigest()[:40].encode()
 
-    def _repeat(self, call: Call, whole: Whole) -> bool:
-        """Whether a keyed request is to run; else it has had its answer."""
-        head, repeats = whole.head, self.web.serving.repeats
-        now = self.web.loop.time()
+    def _is_to_run(self, call: Call, whole: Whole) -> bool:
+        """Whether a request with an Idempotency-Key is to run; else it has been answered."""
+        head, repeats = whole.head, self.front.serving.repeats
+        now = self.front.loop.time()
         found, answer = repeats.begin(now, head.customer, head.route.id, head.key, whole.mark)
         if found is Found.NEW:
-            call.repeat, call.mark = head.key, whole.mark
-            call.seeks = True  # its client may have used the key at another instance
+            call.idempotency_key, call.mark = head.key, whole.mark
+            call.seeks = True  # the client may have used the key at another instance
             return True
         if found is Found.DONE:
-            status, kind, body, headers = cast(tuple[int, str, bytes, Fields], answer)
-            self.answer(status, kind, body, (*headers, REPLAYED))
+            status, content_type, body, headers = cast(tuple[int, str, bytes, Fields], answer)
+            self.answer(status, content_type, body, (*headers, REPLAYED_FIELD))
             return False
         if found is Found.RUNNING:
             raise Rejected(409, "Running", "the first request under this Idempotency-Key has no answer yet")
         if found is Found.OTHER:
-            raise Rejected(422, *USED)
+            raise Rejected(422, *KEY_REUSED)
         raise Rejected(503, "No room", "no more Idempotency-Keys can be kept now", **{"Retry-After": "1"})
 
     # --- answers ----------------------------------------------------------------------------------------
 
-    def answer(self, status: int, kind: str, body: bytes, headers: Fields) -> None:
-        """The one answer to the request that is served; then the next one is read."""
+    def answer(self, status: int, content_type: str, body: bytes, headers: Fields) -> None:
+        """Send the answer to the current request; then read the next one."""
         self._call = None
-        http = self._http
-        if http is None or self.transport.is_closing():
+        h11_connection = self._h11
+        if h11_connection is None or self.transport.is_closing():
             return
-        bare = self._method == "HEAD" or status in EMPTY
-        listed = [("X-Request-Id", self._request_id), *headers]
-        if trace := self.trace():
-            listed.append(("traceparent", trace))
-        if status not in EMPTY:
-            listed += [("Content-Type", kind)] if kind else []
-            listed.append(("Content-Length", str(len(body))))
-        if self._ending or self.web.draining.closing:
-            listed.append(("Connection", "close"))
-        reason = (HTTPStatus(status).phrase if status in STATUSES else "").encode()
-        out = http.send(h11.Response(status_code=status, headers=listed, reason=reason)) or b""
-        if not bare:
-            out += http.send(h11.Data(data=body)) or b""
-        out += http.send(h11.EndOfMessage()) or b""
+        without_body = self._method == "HEAD" or status in BODILESS_STATUSES
+        fields = [("X-Request-Id", self._request_id), *headers]
+        if trace := self.traceparent():
+            fields.append(("traceparent", trace))
+        if status not in BODILESS_STATUSES:
+            fields += [("Content-Type", content_type)] if content_type else []
+            fields.append(("Content-Length", str(len(body))))
+        if self._input_closed or self.front.draining.closing:
+            fields.append(("Connection", "close"))
+        reason = (HTTPStatus(status).phrase if status in KNOWN_STATUSES else "").encode()
+        out = h11_connection.send(h11.Response(status_code=status, headers=fields, reason=reason)) or b""
+        if not without_body:
+            out += h11_connection.send(h11.Data(data=body)) or b""
+        out += h11_connection.send(h11.EndOfMessage()) or b""
         self.transport.write(out)
-        self._http = None
-        if self._ending or self.web.draining.closing or http.our_state is h11.MUST_CLOSE:
+        self._h11 = None
+        if self._input_closed or self.front.draining.closing or h11_connection.our_state is h11.MUST_CLOSE:
             self._close()
             return
-        self._owes, self._since = bool(self._buffer), self.web.loop.time()
-        if self._paused and len(self._buffer) <= MOST_AHEAD:
-            self._paused = False
+        self._awaiting_request, self._waiting_since = bool(self._buffer), self.front.loop.time()
+        if self._reading_paused and len(self._buffer) <= MAX_BUFFERED_BYTES:
+            self._reading_paused = False
             self.transport.resume_reading()
-        self.web.loop.call_soon(self._read)
+        self.front.loop.call_soon(self._read)
 
-    def _reject(self, wrong: Rejected, read: bool = False) -> None:
-        """Turned away before anything was counted."""
-        body = problem(wrong.status, wrong.title, wrong.detail)
-        if not read and self._bodied():
-            self._ending = True  # its body is not read: what follows is not told from it
-        self.answer(wrong.status, PROBLEM, body, tuple(wrong.headers.items()))
+    def _reject(self, rejection: Rejected, body_read: bool = False) -> None:
+        """Reject the current request, before anything is counted."""
+        body = problem_body(rejection.status, rejection.title, rejection.detail)
+        if not body_read and self._has_body():
+            self._input_closed = True  # its body is not read, so the next request can't be found
+        self.answer(rejection.status, PROBLEM_TYPE, body, tuple(rejection.headers.items()))
 
-    def _skip_body(self, headers: dict[str, str], status: int) -> None:
-        self._ending = self._ending or self._bodied()
+    def _answer_without_body(self, headers: dict[str, str], status: int) -> None:
+        self._input_closed = self._input_closed or self._has_body()
         self.answer(status, "", b"", tuple(headers.items()))
 
-    def _bodied(self) -> bool:
+    def _has_body(self) -> bool:
         length = self._headers.get("content-length", "0")
         return "transfer-encoding" in self._headers or length != "0"
 
-    def _fatal(self, status: int, title: str, detail: str = "") -> None:
-        """What follows can't be told apart: one answer, and the end."""
-        self._ending = True
-        body = problem(status, title, detail)
-        self._http = None
+    def _reject_and_close(self, status: int, title: str, detail: str = "") -> None:
+        """Answer and close: it is unclear where the next request would begin."""
+        self._input_closed = True
+        body = problem_body(status, title, detail)
+        self._h11 = None
         phrase = HTTPStatus(status).phrase
-        text = f"HTTP/1.1 {status} {phrase}\r\nContent-Type: {PROBLEM}\r\nContent-Length: {len(body)}\r\n"
+        text = (
+            f"HTTP/1.1 {status} {phrase}\r\nContent-Type: {PROBLEM_TYPE}\r\nContent-Length: {len(body)}\r\n"
+        )
         if not self.transport.is_closing():
             self.transport.write(text.encode() + b"Connection: close\r\n\r\n" + body)
         self._close()
 
     def _close(self) -> None:
-        self._ending = True
+        self._input_closed = True
         self._buffer.clear()
         if self.transport.is_closing() or self._lingering:
             return
         self._lingering = True
-        LingeringClose(self.transport, self.web.loop, self.connection_lost)
+        LingeringClose(self.transport, self.front.loop, self.connection_lost)
 
     # --- ends -------------------------------------------------------------------------------------------
 
-    def end(self, patient: bool = True, reads_on: bool = False) -> None:
-        """Close once nothing is owed. While `patient`, what has come is read first, its rest waited for.
+    def end(self, await_partial: bool = True, read_pending: bool = False) -> None:
+        """Close once no answer is pending.
 
-        While it `reads_on`, what has come is read first.
+        With `await_partial`, received bytes are read first, and the rest of a request is waited for. With
+        `read_pending`, received bytes are read first.
         """
         if self._call is not None or self._lingering or self.transport.is_closing():
             return
-        if self._http is None and not self._buffer:
-            if not ((patient or reads_on) and has_unread(self.transport)):
+        if self._h11 is None and not self._buffer:
+            if not ((await_partial or read_pending) and has_unread(self.transport)):
                 self._close()
-        elif not patient:
-            self._fatal(503, "Shutting down", "the rest of the request did not come in time")
+        elif not await_partial:
+            self._reject_and_close(503, "Shutting down", "the rest of the request did not come in time")
 
-    def look(self, now: float) -> None:
-        """End it where its client has used up its time."""
+    def check_timeouts(self, now: float) -> None:
+        """Close the connection if its client has exceeded a timeout."""
         if self._lingering:
             return
         if self.transport.is_closing():
-            if now - self._since > PATIENCE:
+            if now - self._waiting_since > CLIENT_TIMEOUT:
                 self.transport.abort()
-        elif self._unread or self._owes:
-            if now - self._since <= PATIENCE:
+        elif self._answers_unread or self._awaiting_request:
+            if now - self._waiting_since <= CLIENT_TIMEOUT:
                 return
-            if self._unread:
+            if self._answers_unread:
                 self.transport.abort()
-            elif self._buffer or self._http is not None:
-                self._fatal(408, "Too slow")
+            elif self._buffer or self._h11 is not None:
+                self._reject_and_close(408, "Too slow")
             else:
                 self._close()
-        elif self._call is None and now - self._since > IDLE:
+        elif self._call is None and now - self._waiting_since > IDLE_TIMEOUT:
             self._close()
 
     def pause_writing(self) -> None:
-        """Guards memory: a client that does not read its answers is not read either."""
-        self._unread, self._since = True, self.web.loop.time()
+        """Stop reading from a client that does not read its answers, to bound memory."""
+        self._answers_unread, self._waiting_since = True, self.front.loop.time()
 
     def resume_writing(self) -> None:
-        """It reads again."""
-        self._unread, self._since = False, self.web.loop.time()
+        """The client reads its answers again."""
+        self._answers_unread, self._waiting_since = False, self.front.loop.time()
         self._read()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The client has gone; nothing is owed to it any more, but what runs under a key is kept for it."""
-        self._ending = True
-        self.web.connections.discard(self)
+        """The client has disconnected: cancel its request. One under a key runs on: its answer is kept."""
+        self._input_closed = True
+        self.front.connections.discard(self)
         call, self._call = self._call, None
-        if call is not None and call.request and not call.repeat:
-            self.web.engine.gone(call.request)
+        if call is not None and call.request and not call.idempotency_key:
+            self.front.engine.gone(call.request)
 
 
-def _doubt(head: bytes) -> tuple[int, str] | None:
-    """What readers of HTTP differ on, in a head that ends with an empty line."""
+def _check_head(head: bytes) -> tuple[int, str] | None:
+    """Return status and title if parsers of HTTP may disagree on a head, which ends with an empty line."""
     lines = head[:-4].split(b"\r\n")
-    if not START.fullmatch(lines[0]):
+    if not REQUEST_LINE_PATTERN.fullmatch(lines[0]):
         return 400, "Bad request line"
-    if len(lines) - 1 > MOST_HEADERS:
+    if len(lines) - 1 > MAX_HEADERS:
         return 431, "Too many headers"
     framings = hosts = 0
     for line in lines[1:]:
-        if not LINE.fullmatch(line):
+        if not HEADER_LINE_PATTERN.fullmatch(line):
             return 400, "Bad header"
         name = line.partition(b":")[0].lower()
         framings += name in (b"content-length", b"transfer-encoding")
@@ -583,81 +602,81 @@
     return None
 
 
-def _folded(request: h11.Request) -> dict[str, str]:
-    """Headers by lower-case name, those of one name joined."""
-    found: dict[str, str] = {}
+def _joined_headers(request: h11.Request) -> dict[str, str]:
+    """Return the header fields by lower-case name, those of one name joined."""
+    joined: dict[str, str] = {}
     for raw_name, raw_value in request.headers:
         name, value = raw_name.decode("latin-1"), raw_value.decode("latin-1")
-        joint = "; " if name == "cookie" else ", "
-        found[name] = found[name] + joint + value if name in found else value
-    return found
+        separator = "; " if name == "cookie" else ", "
+        joined[name] = joined[name] + separator + value if name in joined else value
+    return joined
 
 
 class Web:
-    """The HTTP listeners and all their connections."""
+    """The HTTP front: its listeners and all their connections."""
 
     def __init__(
         self,
         engine: Desk,
         serving: Serving,
-        most: int,
+        max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        doors: Doors | None = None,
+        listener_factory: Doors | None = None,
         back: bool = False,
     ) -> None:
-        """`doors`: where its listeners come from; it opens them itself by default."""
-        self.back = back  # clients may come back for what another instance had
-        self._doors = doors or OwnDoors(loop)
+        """`listener_factory` opens the listeners; by default the front opens them itself."""
+        self.back = back  # clients may resume requests that another instance had
+        self._listener_factory = listener_factory or OwnDoors(loop)
         self.engine, self.serving, self.loop = engine, serving, loop
         self.connections: set[Connection] = set()
         self.draining = Draining(self, loop)
-        self.report: ShutdownReport | None = None  # once the process is to end
-        self._most = most
+        self.report: ShutdownReport | None = None  # set once the process is to end
+        self._max_connections = max_connections
         self._listeners: dict[tuple[str, int], Door] = {}
         self._sweeping: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Take connections at one more address; an OSError where it can't be had."""
-        door = await self._doors.open((host, port), lambda: Connection(self))
-        self._listeners[door.address] = door
+        """Accept connections at one more address; raises OSError if it can't be bound."""
+        listener = await self._listener_factory.open((host, port), lambda: Connection(self))
+        self._listeners[listener.address] = listener
         if self._sweeping is None:
             self._sweep()
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where it listens."""
+        """The addresses that it listens at."""
         return list(self._listeners)
 
     def add(self, connection: Connection) -> None:
-        """Take a new connection in. Guards the limit on descriptors."""
+        """Register a new connection; descriptors are limited, so one too many is closed."""
         self.connections.add(connection)
-        if len(self.connections) > self._most:
+        if len(self.connections) > self._max_connections:
             connection.transport.abort()
 
     def adopt(self, serving: Serving) -> None:
-        """Go by another table and terms; requests that are open end under those that they began with."""
+        """Use another table and terms for new requests; open ones end under those that they began with."""
         self.serving = replace(serving, repeats=self.serving.repeats)
 
     def _sweep(self) -> None:
         now = self.loop.time()
         for connection in list(self.connections):
-            connection.look(now)
-        self._sweeping = self.loop.call_later(SWEEP, self._sweep)
+            connection.check_timeouts(now)
+        self._sweeping = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     async def drain(self, times: DrainTimes) -> None:
-        """Close the listeners, and each connection as soon as nothing is owed on it."""
+        """Close the listeners, and each connection as soon as no answer is pending on it."""
         await self.unlisten()
-        await self.draining.empty(replace(times, announce=0.0))
+        await self.draining.drain(replace(times, announce=0.0))
 
     async def unlisten(self) -> None:
-        """Take no connections any more, but those that are ours already."""
+        """Stop accepting. Open connections stay."""
         while self._listeners:
             await self._listeners.popitem()[1].close()
 
     def close(self) -> None:
-        """The end."""
-        for door in self._listeners.values():
-            door.drop()
+        """Close all listeners and abort all connections; the process ends."""
+        for listener in self._listeners.values():
+            listener.drop()
         self.draining.close()
         if self._sweeping is not None:
             self._sweeping.cancel()
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -1,10 +1,10 @@
-"""Where a request came from: what is believed of it, and how it is told on."""
+"""Where a request came from: which addresses are trusted, and what boxes are sent."""
 
 from ipaddress import ip_network
 
 import pytest
 
-from lynxreel.fronts.forwarded import told
+from lynxreel.fronts.forwarded import forwarded_field
 
 TRUSTED = (ip_network("10.0.0.0/8"), ip_network("fd00::/8"))
 
@@ -13,7 +13,7 @@
     ("peer", "headers", "expected"),
     [
         ("192.0.2.1", {}, "for=192.0.2.1"),
-        ("192.0.2.1", {"forwarded": "for=198.51.100.7"}, "for=192.0.2.1"),  # a client's own word
+        ("192.0.2.1", {"forwarded": "for=198.51.100.7"}, "for=192.0.2.1"),  # stated by the client itself
         ("10.0.0.1", {"forwarded": "for=198.51.100.7"}, "for=198.51.100.7, for=10.0.0.1"),
         (
             "10.0.0.1",
@@ -33,7 +33,7 @@
         ("", {}, "for=unknown"),
     ],
 )
-def test_only_what_trusted_proxies_passed_on_is_believed(
+def test_only_addresses_from_trusted_proxies_are_accepted(
     peer: str, headers: dict[str, str], expected: str
 ) -> None:
-    assert told(peer, headers, TRUSTED) == expected
+    assert forwarded_field(peer, headers, TRUSTED) == expected
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -299,8 +299,8 @@
 
 
 def test_a_value_that_stands_still_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lynxreel.fronts.resp2.STALL", 0.1)
-    monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP", 0.02)
+    monkeypatch.setattr("lynxreel.fronts.resp2.STREAM_STALL_TIMEOUT", 0.1)
+    monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP_INTERVAL", 0.02)
 
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
