--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""Peers on loopback sockets for the tests of the gateway: each says what the test tells it to."""
+"""Stand-ins on loopback sockets for tests of the gateway; each sends what its test specifies."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -20,19 +20,19 @@
 
 
 def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Play a scenario on the loop that the program uses; a hang fails it."""
+    """Run a scenario on the event loop that the program uses; a hang fails it."""
     uvloop.run(asyncio.wait_for(scenario(), 10))
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Give the loop turns until something holds; `run` bounds the time for that."""
-    while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    """Run the loop until a condition holds; `run` limits the time."""
+    while not condition():
         await asyncio.sleep(0)
 
 
-def drain_times(most: float) -> DrainTimes:
-    """A drain that is not announced, for so many seconds."""
-    return DrainTimes(announce=0.0, patience=most, cut_off=most)
+def drain_times(seconds: float) -> DrainTimes:
+    """Return the times of a drain of so many seconds that is not announced."""
+    return DrainTimes(announce=0.0, patience=seconds, cut_off=seconds)
 
 
 def resp(*words: bytes) -> bytes:
@@ -44,7 +44,7 @@
 
 
 class Peer:
-    """A listener; `came` holds what was heard, in order, with b"" where a connection ended."""
+    """A listener that the test controls; `came` has received data in order, b"" at a connection's end."""
 
     def __init__(self) -> None:
         self.came: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
@@ -67,14 +67,14 @@
             self.came.put_nowait((writer, data))
 
     async def hear(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
-        """What comes next, until it ends like this; or the end of a connection."""
+        """Return what is received next, up to this ending or up to the end of a connection."""
         writer, data = await self.came.get()
         while data and not data.endswith(end):
             data += (await self.came.get())[1]
         return writer, data
 
     async def answer(self, reply: bytes) -> bytes:
-        """Hear a command and answer it."""
+        """Receive a command and answer it."""
         writer, data = await self.hear()
         writer.write(reply)
         return data
@@ -86,7 +86,7 @@
 
 
 class Heard:
-    """Stands in for the engine: keeps what the sockets tell it."""
+    """A stand-in for the engine: records what it is given."""
 
     def __init__(self) -> None:
         self.clock = Clock()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP front of real gateways: what is served, charged, refused, and what is never sent on."""
+"""The HTTP front of real gateways: what is served, charged and rejected, and what never reaches a box."""
 
 import asyncio
 import contextlib
@@ -82,7 +82,7 @@
     }  # fmt: skip
 
 
-WEB = HOST.rpartition(".")[0] + ".2"  # so that no port drawn for it is given to anything else
+WEB = HOST.rpartition(".")[0] + ".2"  # an address of its own: nothing else gets a port chosen for it
 CLASSES = """
 [[classes]]
 name = "keyed"
@@ -108,15 +108,15 @@
 
 
 class Client:
-    """One connection, by hand."""
+    """One client connection, written and read directly."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
     async def to(cls, gateway: Gateway) -> "Client":
-        place = (await told(gateway, state="ready"))["http"][0]
-        host, _, port = place.rpartition(":")
+        address = (await told(gateway, state="ready"))["http"][0]
+        host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
     def send(self, method: str, path: str, body: bytes = b"", key: str = "k0", **headers: str) -> None:
@@ -126,11 +126,11 @@
         lines += [f"Content-Length: {len(body)}", "Content-Type: application/json"] if body else []
         self.writer.write("\r\n".join([*lines, "", ""]).encode() + body)
 
-    async def answer(self, bare: bool = False) -> Answer:
+    async def answer(self, without_body: bool = False) -> Answer:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
         first, *lines = head.strip().split("\r\n")
         headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
-        length = 0 if bare else int(headers.get("content-length", 0))
+        length = 0 if without_body else int(headers.get("content-length", 0))
         return Answer(int(first.split()[1]), headers, await self.reader.readexactly(length))
 
     async def ask(self, method: str, path: str, body: bytes = b"", key: str = "k0", **headers: str) -> Answer:
@@ -139,7 +139,7 @@
 
 
 def young() -> int:
-    """A customer whose window has just begun."""
+    """Return a customer whose window has just begun."""
     length, now = 30_000_000, time.time_ns() // 1_000
     return next(n for n in itertools.count(77) if (now + n * 7919 % length) % length < 2_000_000)
 
@@ -155,12 +155,14 @@
     link: Any = Resp2Link,
     takeover: bool = False,
 ) -> AsyncIterator[Deployment]:
-    """Gateways with an HTTP front. Keys k0, k1, ... are those of customers; `keys` has more."""
-    api, held = folder / "api.json", folder / "keys.json"
+    """Run gateways with an HTTP front. Customers have the API keys k0, k1, ...; `keys` adds more."""
+    api, keys_file = folder / "api.json", folder / "keys.json"
     api.write_text(json.dumps(told or description()))
-    named = {f"k{n}": f"{7 + n:016x}" for n in range(8)} | (keys or {})
-    hashes = {hashlib.sha256(key.encode()).hexdigest(): {"customer": c} for key, c in named.items()}
-    held.write_text(json.dumps(hashes))
+    customers_by_key = {f"k{n}": f"{7 + n:016x}" for n in range(8)} | (keys or {})
+    hashes = {
+        hashlib.sha256(key.encode()).hexdigest(): {"customer": c} for key, c in customers_by_key.items()
+    }
+    keys_file.write_text(json.dumps(hashes))
     (folder / "token").write_text(SECRET)
     holders = [socket.create_server((WEB, 0)) for _ in range(gateways)]
     ports = [holder.getsockname()[1] for holder in holders]
@@ -173,7 +175,7 @@
         text = text.replace("[counter]", "[counter]\ntime_limit_ms = 1000")
         lines = [
             CLASSES, "[http]", f'listen = ["{WEB}:{ports[next(count) % gateways]}"]',
-            f'description = "{api}"', f'keys_file = "{held}"', f'token_key_file = "{folder / "token"}"',
+            f'description = "{api}"', f'keys_file = "{keys_file}"', f'token_key_file = "{folder / "token"}"',
         ]  # fmt: skip
         return text + "\n".join(lines) + "\n"
 
@@ -197,7 +199,7 @@
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             client = await Client.to(deployment.gateways[0])
-            for number in range(20):  # all at once
+            for number in range(20):  # pipelined
                 trace = f"00-{number:032x}-{1:016x}-01"
                 path = f"/v1/numbers/{number}?limit=3"
                 client.send("GET", path, X_Request_Id=f"r{number}", traceparent=trace)
@@ -221,7 +223,7 @@
     run(scenario)
 
 
-def test_a_box_is_told_the_trace_that_a_request_belongs_to(tmp_path: Path) -> None:
+def test_a_box_is_sent_the_trace_of_a_request(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             client, bodies = await Client.to(deployment.gateways[0]), list[dict[str, Any]]()
@@ -241,7 +243,7 @@
     run(scenario)
 
 
-def test_what_does_not_fit_the_description_is_a_problem_and_reaches_no_box(tmp_path: Path) -> None:
+def test_requests_that_violate_the_description_get_a_problem_and_reach_no_box(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -272,13 +274,13 @@
             assert (await client.answer()).status == 415
             null = await client.ask("POST", "/v1/ports", b'{"from": "x", "count": null}')
             assert null.status == 200
-            assert (await client.ask("GET", "/v1/numbers/" + "9" * 25)).status == 200  # an integer, too
+            assert (await client.ask("GET", "/v1/numbers/" + "9" * 25)).status == 200  # an integer as well
             assert came(deployment) == 3
 
     run(scenario)
 
 
-def test_whose_a_request_is_is_shown_before_anything_is_counted(tmp_path: Path) -> None:
+def test_requests_are_authenticated_before_anything_is_counted(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -314,7 +316,7 @@
 
 
 def customers(deployment: Deployment) -> dict[str, float]:
-    """What the counter holds, the guard's markers left out."""
+    """Return the units on the counter by name, without the guard's markers."""
     return {name: units for name, units in deployment.counter.added.items() if int(name, 16) < 1 << 62}
 
 
@@ -368,7 +370,7 @@
         (raw().replace(b"GET", b"CONNECT"), 501),
     ],
 )
-def test_what_two_programs_may_read_differently_is_refused_and_reaches_no_box(
+def test_ambiguous_requests_are_rejected_and_reach_no_box(
     shared: tuple[asyncio.Runner, Deployment], data: bytes, status: int
 ) -> None:
     runner, deployment = shared
@@ -387,7 +389,7 @@
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Any:
-    """One gateway for the cases that harm none."""
+    """One gateway for cases that do not affect each other."""
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         deployment = runner.run(stack.enter_async_context(web(tmp_path_factory.mktemp("http"))))
@@ -397,17 +399,17 @@
             runner.run(stack.aclose())
 
 
-def test_of_spoilt_requests_a_box_hears_as_many_as_are_answered(tmp_path: Path) -> None:
+def test_of_corrupted_requests_boxes_receive_as_many_as_are_answered(tmp_path: Path) -> None:
     """400 connections here; `make bench ARGS=http_fuzz` has more."""
 
     async def scenario() -> None:
         async with web(tmp_path, rate=1_000.0, burst=30_000.0) as deployment:
-            draw = random.Random(11)
-            told_at = (await told(deployment.gateways[0], state="ready"))["http"][0].rpartition(":")
-            place, found = (told_at[0], int(told_at[2])), Counter[str]()
+            rng = random.Random(11)
+            address = (await told(deployment.gateways[0], state="ready"))["http"][0].rpartition(":")
+            host_and_port, found = (address[0], int(address[2])), Counter[str]()
             for _ in range(8):
-                plays = [spoilt(draw, b"k%d" % draw.randrange(8)) for _ in range(50)]
-                for counts in await asyncio.gather(*[play(place, pieces) for pieces in plays]):
+                requests = [spoilt(rng, b"k%d" % rng.randrange(8)) for _ in range(50)]
+                for counts in await asyncio.gather(*[play(host_and_port, pieces) for pieces in requests]):
                     found += counts
             assert found["200"] == came(deployment)
             assert found["200"] > 100 and found["400"] > 100
@@ -417,16 +419,16 @@
     run(scenario)
 
 
-async def play(place: tuple[str, int], pieces: list[bytes]) -> Counter[str]:
-    """Write it all, read to the end: how many answers of each status."""
-    reader, writer = await asyncio.open_connection(*place)
-    with contextlib.suppress(ConnectionError, RuntimeError):  # uvloop's word for one that has been closed
+async def play(host_and_port: tuple[str, int], pieces: list[bytes]) -> Counter[str]:
+    """Write all pieces and read to the end; return the number of answers by status."""
+    reader, writer = await asyncio.open_connection(*host_and_port)
+    with contextlib.suppress(ConnectionError, RuntimeError):  # RuntimeError: uvloop's for a closed connection
         for piece in pieces:
             writer.write(piece)
             await asyncio.sleep(0.002)
     data = b""
     with contextlib.suppress(ConnectionError, TimeoutError):
-        while True:  # a connection that is kept is left after a second of silence
+        while True:  # a connection that stays open is left after 2.5 s of silence
             more = await asyncio.wait_for(reader.read(65_536), 2.5)
             if not more:
                 break
@@ -436,7 +438,7 @@
     return Counter([status.decode() for status in statuses] or ["nothing read"])
 
 
-def test_slow_heads_and_bodies_are_ended_and_a_client_gone_mid_body_leaves_nothing(tmp_path: Path) -> None:
+def test_slow_heads_and_bodies_time_out_and_a_disconnect_mid_body_leaves_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             gateway = deployment.gateways[0]
@@ -445,11 +447,11 @@
             slow[1].writer.write(raw("Content-Length: 10", body=b"x"))
             answers = [await client.answer() for client in slow[:2]]
             assert [answer.status for answer in answers] == [408, 408]
-            assert await slow[2].reader.read() == b""  # it never said anything
-            gone = await Client.to(gateway)
-            gone.writer.write(raw("Content-Length: 10", body=b"x"))
+            assert await slow[2].reader.read() == b""  # it never sent anything
+            disconnecting = await Client.to(gateway)
+            disconnecting.writer.write(raw("Content-Length: 10", body=b"x"))
             await asyncio.sleep(0.1)
-            gone.writer.transport.abort()
+            disconnecting.writer.transport.abort()
             while gateway.place.read()["connections"] > 20:
                 await asyncio.sleep(0.05)
             assert came(deployment) == 0
@@ -458,7 +460,7 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.SILENT, Kind.RESET, Kind.SPOILT, Kind.HALF])
-def test_a_post_that_ends_badly_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
+def test_a_post_whose_attempt_fails_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             client = await Client.to(deployment.gateways[0])
@@ -472,7 +474,7 @@
     run(scenario)
 
 
-def test_a_quota_is_drained_exactly_by_both_kinds_of_client(tmp_path: Path) -> None:
+def test_a_quota_is_used_up_exactly_by_both_kinds_of_client(tmp_path: Path) -> None:
     async def scenario() -> None:
         number = young()
         keys = {"mixed": f"{number:016x}"}
@@ -496,7 +498,7 @@
             refilled = 2.0 * (time.monotonic() - began)
             total = served["web"] + served["resp"]
             held = sum(units for units in customers(deployment).values())
-            assert total == held == came(deployment)  # charged, counted and sent on are one
+            assert total == held == came(deployment)  # units charged and counted, and requests forwarded
             assert 60 <= total <= 60 + refilled + 1
             assert min(served.values()) > 10
 
@@ -536,7 +538,7 @@
     run(scenario)
 
 
-def test_a_table_that_loosens_something_wants_a_word(tmp_path: Path) -> None:
+def test_a_less_strict_table_needs_a_confirmation(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             gateway, api = deployment.gateways[0], tmp_path / "api.json"
@@ -546,9 +548,9 @@
             deployment.do("reload", (0,))
             state = await told(gateway, reloads=1)
             assert "effect keyed in place of once; mend: take it back, or set http.confirm" in str(state)
-            word = state["reload_problems"][0].rpartition('"')[0].rpartition('"')[2]
+            confirmation = state["reload_problems"][0].rpartition('"')[0].rpartition('"')[2]
             text = gateway.config.read_text()
-            gateway.config.write_text(text + f'confirm = "{word}"\n')
+            gateway.config.write_text(text + f'confirm = "{confirmation}"\n')
             deployment.do("reload", (0,))
             await told(gateway, reloads=2, reload_problems=[])
             bad = description()
@@ -585,18 +587,18 @@
     run(scenario)
 
 
-@pytest.mark.skipif(shutil.which("curl") is None, reason="the lines are for curl")
-def test_a_local_deployment_serves_both_fronts_and_its_lines_do_what_they_say(tmp_path: Path) -> None:
+@pytest.mark.skipif(shutil.which("curl") is None, reason="the example commands use curl")
+def test_a_local_deployment_serves_both_fronts_and_its_example_commands_work(tmp_path: Path) -> None:
     async def scenario() -> None:
         deployment = Deployment(tmp_path, 1, 50.0, 1, 4, http=True)
         try:
             await deployment.start()
             served, refused = (line for line in hint(deployment).split("\n") if "curl" in line)
-            for line, told in ((served, "HTTP/1.1 200 OK"), (refused, "429")):
+            for line, expected in ((served, "HTTP/1.1 200 OK"), (refused, "429")):
                 words = ["sh", "-c", line.strip()]
                 process = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
                 out, _ = await process.communicate()
-                assert told in out.decode()
+                assert expected in out.decode()
             assert out.decode().split()[0] == "200"
         finally:
             deployment.close()
@@ -606,7 +608,7 @@
     run(scenario)
 
 
-def test_kept_answers_are_bounded_and_end_with_their_time() -> None:
+def test_stored_answers_are_bounded_and_expire() -> None:
     kept = Repeats(2, 10.0)
     assert kept.begin(0.0, 1, "r", "a", b"x") == (Found.NEW, None)
     assert kept.begin(0.0, 1, "r", "a", b"x") == (Found.RUNNING, None)
@@ -615,14 +617,14 @@
     assert kept.begin(10.9, 1, "r", "a", b"x") == (Found.DONE, "answer")
     assert kept.begin(2.0, 1, "r", "b", b"x") == (Found.NEW, None)
     assert kept.begin(2.0, 1, "r", "c", b"x") == (Found.FULL, None)
-    kept.end(3.0, 1, "r", "b", None)  # nothing ran: the key is free
+    kept.end(3.0, 1, "r", "b", None)  # nothing ran: the key may be used again
     assert kept.begin(3.0, 1, "r", "c", b"x") == (Found.NEW, None)
-    assert kept.begin(11.0, 1, "r", "d", b"x") == (Found.NEW, None)  # the first one's time is over
-    assert kept.begin(99.0, 1, "r", "c", b"x") == (Found.RUNNING, None)  # one that runs is kept
+    assert kept.begin(11.0, 1, "r", "d", b"x") == (Found.NEW, None)  # the first entry has expired
+    assert kept.begin(99.0, 1, "r", "c", b"x") == (Found.RUNNING, None)  # a running one does not expire
     assert len(kept) == 2
 
 
-def test_a_request_whose_rest_comes_late_in_a_drain_is_refused_and_reaches_no_box(tmp_path: Path) -> None:
+def test_a_request_completed_late_in_a_drain_is_refused_and_reaches_no_box(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with web(tmp_path) as deployment:
             gateway = deployment.gateways[0]
@@ -634,7 +636,7 @@
             before = came(deployment)
             deployment.do("drain", (0,))
             await told(gateway, state="draining")
-            await asyncio.sleep(HALF_READ + 0.1)  # after this nothing is taken on any more
+            await asyncio.sleep(HALF_READ + 0.1)  # after this, new requests are refused
             client.writer.write(body[5:])
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (429, "close")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new version beside the running one, on a listening socket that the platform holds; as real processes."""
+"""A new version beside the running one, on a listener that the platform holds; with real processes."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class Pings:
-    """A client that connects, pings and closes, again and again, and counts what went wrong."""
+    """A client that connects, pings and closes, again and again, and records failures."""
 
     def __init__(self, port: int) -> None:
         self.fine, self.wrong, self._port = 0, list[str](), port
@@ -32,20 +32,20 @@
     def _run(self) -> None:
         while not self._over.is_set():
             try:
-                with socket.create_connection((GATEWAY, self._port), timeout=30) as own:
-                    own.sendall(PING)
-                    answer = own.recv(64)
-            except OSError as wrong:
-                answer = repr(wrong).encode()
+                with socket.create_connection((GATEWAY, self._port), timeout=30) as sock:
+                    sock.sendall(PING)
+                    answer = sock.recv(64)
+            except OSError as error:
+                answer = repr(error).encode()
             if answer == b"+PONG\r\n":
                 self.fine += 1
             else:
                 self.wrong.append(repr(answer))
 
     def more(self, count: int) -> None:
-        """Until so many more have been answered."""
-        until = self.fine + count
-        while self.fine < until and not self.wrong:
+        """Wait until so many more have been answered."""
+        target = self.fine + count
+        while self.fine < target and not self.wrong:
             self._over.wait(0.001)
 
     def end(self) -> None:
@@ -54,7 +54,7 @@
 
 
 def running(process: Ended, operator: int) -> None:
-    """Wait for its yes."""
+    """Wait until the process reports that it is ready."""
     while True:
         assert process.poll() is None, process.communicate()
         try:
@@ -64,19 +64,21 @@
             continue
 
 
-def test_no_connect_fails_and_no_answer_is_lost_while_versions_follow_each_other(tmp_path: Path) -> None:
+def test_no_connect_fails_and_no_answer_is_lost_during_successive_upgrades(tmp_path: Path) -> None:
     any_port = ("127.0.0.1", 0)
     with (
         socket.create_server(any_port) as discovery,
         socket.create_server(any_port) as counter,
-        socket.create_server((GATEWAY, 0)) as platforms,
+        socket.create_server((GATEWAY, 0)) as platform_listener,
     ):
-        listen = platforms.getsockname()[1]
-        given = config(discovery.getsockname()[1], counter.getsockname()[1], listen)
+        listen = platform_listener.getsockname()[1]
+        base_config = config(discovery.getsockname()[1], counter.getsockname()[1], listen)
 
         def run() -> tuple[Ended, int]:
             operator = free_port()
-            process = start(tmp_path, json.dumps({**given, "operator": f"{GATEWAY}:{operator}"}), platforms)
+            process = start(
+                tmp_path, json.dumps({**base_config, "operator": f"{GATEWAY}:{operator}"}), platform_listener
+            )
             running(process, operator)
             return process, operator
 
@@ -86,19 +88,19 @@
             for _ in range(3):
                 pings.more(20)
                 idle = socket.create_connection((GATEWAY, listen), timeout=30)
-                new, beside = run()
+                new, new_operator = run()
                 assert ask(operator, b"READY") == b"+OK ready\r\n"  # both serve
                 old.send_signal(signal.SIGTERM)
                 assert old.wait(30) == 0
                 idle.close()
-                old, operator = new, beside
+                old, operator = new, new_operator
             pings.more(20)
         finally:
             pings.end()
             old.kill()
             old.wait()
         assert pings.wrong == []
-        with socket.create_connection((GATEWAY, listen), timeout=30) as late:  # nobody accepts, it waits
+        with socket.create_connection((GATEWAY, listen), timeout=30) as late:  # nobody accepts it: it waits
             late.sendall(PING)
             new, _ = run()
             assert late.recv(64) == b"+PONG\r\n"
@@ -109,36 +111,39 @@
 def test_two_processes_of_a_gateway_hold_its_share_of_ceilings_in_turn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held: list[tuple[bool, str]] = []
-    own: program.Program
+    shares: list[tuple[bool, str]] = []
+    gateway: program.Program
 
     def hold(node: Node, share: bool) -> None:
-        held.append((share, own.life.state.value if hasattr(own, "node") else "made"))
+        shares.append((share, gateway.life.state.value if hasattr(gateway, "node") else "made"))
 
     monkeypatch.setattr(Node, "hold", hold)
 
     async def scenario() -> None:
-        nonlocal own
-        with socket.create_server((LOCAL, 0)) as platforms, socket.create_server((LOCAL, 0)) as silent:
-            monkeypatch.setenv("EDGE_LISTEN_FD", str(os.dup(platforms.fileno())))
+        nonlocal gateway
+        with (
+            socket.create_server((LOCAL, 0)) as platform_listener,
+            socket.create_server((LOCAL, 0)) as silent,
+        ):
+            monkeypatch.setenv("EDGE_LISTEN_FD", str(os.dup(platform_listener.fileno())))
             port = silent.getsockname()[1]
-            given = config(port, port, platforms.getsockname()[1])
-            own = program.Program(given, asyncio.get_running_loop())
-            running = asyncio.create_task(own.run())
-            while not own.life.ready:
+            base_config = config(port, port, platform_listener.getsockname()[1])
+            gateway = program.Program(base_config, asyncio.get_running_loop())
+            running = asyncio.create_task(gateway.run())
+            while not gateway.life.ready:
                 await asyncio.sleep(0.005)
-            assert held == [(False, "made"), (True, "starting")]
+            assert shares == [(False, "made"), (True, "starting")]
             os.kill(os.getpid(), signal.SIGTERM)
             await running
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
-    assert held[2:] == [(False, "draining")]  # at once: the next one is ready
+    assert shares[2:] == [(False, "draining")]  # immediately, as the next process is ready
 
 
-@pytest.mark.parametrize("told", ["x", "-1", "99999"])
-def test_a_descriptor_that_is_no_listener_is_told(told: str) -> None:
+@pytest.mark.parametrize("value", ["x", "-1", "99999"])
+def test_a_descriptor_that_is_no_listener_is_reported(value: str) -> None:
     with pytest.raises(ValueError):
-        inherited("FD", {"FD": told})
+        inherited("FD", {"FD": value})
 
 
 def test_without_the_variable_nothing_is_inherited() -> None:
@@ -146,34 +151,34 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "variables", "named"),
+    ("more", "variables", "message"),
     [
         ({"operator": "127.0.0.1:x"}, {}, b"operator: no address: '127.0.0.1:x'"),
         ({}, {"EDGE_OPERATOR": "here"}, b"operator: no address: 'here'"),
         ({}, {"EDGE_LISTEN_FD": "77"}, b"EDGE_LISTEN_FD: descriptor 77 is no socket"),
     ],
 )
-def test_a_start_that_can_not_be_names_what_is_wrong(
+def test_a_failed_start_names_the_reason(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     more: dict[str, str],
     variables: dict[str, str],
-    named: bytes,
+    message: bytes,
 ) -> None:
     for name, value in variables.items():
         monkeypatch.setenv(name, value)
     with start(tmp_path, json.dumps({**config(1, 1, 1), **more})) as process:
         _, err = process.communicate(timeout=60)
     assert process.returncode == 2
-    assert named in err
+    assert message in err
     assert err.count(b"\n") == 1
 
 
-def test_a_second_descriptor_of_a_shared_listener_leaves_it_as_the_others_have_it() -> None:
-    # Guards whoever accepts there already: in blocking mode it would stand still before an empty queue.
-    with socket.create_server((LOCAL, 0)) as own:
-        own.setblocking(False)
-        handed_in = socket.socket(fileno=os.dup(own.fileno()))  # as another process has it
+def test_a_second_descriptor_of_a_shared_listener_does_not_change_its_blocking_mode() -> None:
+    # In blocking mode, a process that accepts there already would block on an empty queue.
+    with socket.create_server((LOCAL, 0)) as first:
+        first.setblocking(False)
+        handed_in = socket.socket(fileno=os.dup(first.fileno()))  # as another process has it
         with handed_in, duplicate(handed_in) as second:
-            assert not os.get_blocking(own.fileno())
-            assert second.getsockname() == own.getsockname()
+            assert not os.get_blocking(first.fileno())
+            assert second.getsockname() == first.getsockname()
