--- a/lynxreel/__main__.py
+++ b/lynxreel/__main__.py
@@ -15,7 +15,7 @@
 
 from lynxreel.daemon.instance import Instance
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes
-from lynxreel.fronts.listeners import OwnDoors, inherited
+from lynxreel.fronts.listeners import OwnListenerFactory, inherited_listener
 from lynxreel.fronts.resp2 import HALF_READ
 from lynxreel.log import log
 from lynxreel.node import Deployment, Node, PeerPlan
@@ -84,7 +84,7 @@
     """The platform's program: its configuration says where to listen, and SIGHUP where to look."""
 
     def __init__(self, config: dict[str, Any], loop: asyncio.AbstractEventLoop) -> None:
-        given = inherited("EDGE_LISTEN_FD")
+        given = inherited_listener("EDGE_LISTEN_FD")
         self._shared = given is not None  # others may accept there, before this process and after it
         self._deployment = deployment = read_deployment(config, self._shared)
         longest = max(cls.deadline for cls in deployment.settings.classes) / 1e6
@@ -92,7 +92,7 @@
         self._operator = read_operator(config)
         self._seed = int(config["seed"], 16)
         self._known = read_list(config["known"], deployment.names, ListKind.CACHED)
-        self._doors = OwnDoors(loop, {deployment.listen[0]: given} if given is not None else {})
+        self._doors = OwnListenerFactory(loop, {deployment.listen[0]: given} if given is not None else {})
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -27,7 +27,7 @@
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes, State
 from lynxreel.daemon.notify import Notifier
 from lynxreel.daemon.place import Place, Taken
-from lynxreel.fronts.listeners import Doors, OwnDoors, activated
+from lynxreel.fronts.listeners import ListenerFactory, OwnListenerFactory, systemd_listeners
 from lynxreel.fronts.resp2 import HALF_READ
 from lynxreel.internal_errors import internal_errors
 from lynxreel.jsonlines import Commands, listen
@@ -66,7 +66,7 @@
         self._path, self._file, self._place, self._post = path, file, place, post
         self.announce = file.drain.announce_ms / 1e3
         self._notifier = Notifier()
-        doors: Doors = OwnDoors(self.loop, given)
+        doors: ListenerFactory = OwnListenerFactory(self.loop, given)
         self._leash: Leash | None = None
         if post is not None:
             from lynxreel.workers.worker import Leash, SharedDoors  # here: only under a supervisor
@@ -427,7 +427,7 @@
             from lynxreel.workers.supervisor import supervise  # here: only where it is configured
 
             return supervise(path, file, take_over)
-        given = activated() if post is None else {}
+        given = systemd_listeners() if post is None else {}
     except (ConfigError, ValueError) as wrong:
         for problem in wrong.problems if isinstance(wrong, ConfigError) else [f"LISTEN_FDS: {wrong}"]:
             log(problem)
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -25,7 +25,7 @@
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.forwarded import Network, forwarded_field
 from lynxreel.fronts.lingering import LingeringClose, has_unread
-from lynxreel.fronts.listeners import Door, Doors, OwnDoors
+from lynxreel.fronts.listeners import Listener, ListenerFactory, OwnListenerFactory
 from lynxreel.openapi.admission import Admission, Head, Rejected, Whole
 from lynxreel.openapi.repeats import Found, Repeats
 from lynxreel.openapi.routes import BadPath, split
@@ -78,7 +78,7 @@
         engine: Desk,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        listener_factory: Doors,
+        listener_factory: ListenerFactory,
         back: bool,
     ) -> Web:
         """Create the front, which does not listen yet. `back`: clients may resume requests."""
@@ -621,18 +621,18 @@
         serving: Serving,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        listener_factory: Doors | None = None,
+        listener_factory: ListenerFactory | None = None,
         back: bool = False,
     ) -> None:
         """`listener_factory` opens the listeners; by default the front opens them itself."""
         self.back = back  # clients may resume requests that another instance had
-        self._listener_factory = listener_factory or OwnDoors(loop)
+        self._listener_factory = listener_factory or OwnListenerFactory(loop)
         self.engine, self.serving, self.loop = engine, serving, loop
         self.connections: set[Connection] = set()
         self.draining = Draining(self, loop)
         self.report: ShutdownReport | None = None  # set once the process is to end
         self._max_connections = max_connections
-        self._listeners: dict[tuple[str, int], Door] = {}
+        self._listeners: dict[tuple[str, int], Listener] = {}
         self._sweeping: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> None:
--- a/lynxreel/fronts/listeners.py
+++ b/lynxreel/fronts/listeners.py
@@ -21,10 +21,10 @@
 CLOSE_RETRY_PAUSE = 0.01  # the same while the listener is being closed
 CLOSE_RETRY_TIME = 0.1  # seconds of such retries before the listener is closed over what waits
 ACCEPTS_PER_TURN = 64  # connections accepted before other events have their turn
-Factory = Callable[[], asyncio.Protocol]
+ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
-class Door(Protocol):
+class Listener(Protocol):
     """One open listener."""
 
     @property
@@ -38,14 +38,14 @@
         """Close at once."""
 
 
-class Doors(Protocol):
+class ListenerFactory(Protocol):
     """Opens listeners."""
 
-    async def open(self, address: Address, factory: Factory) -> Door:
+    async def open(self, address: Address, factory: ProtocolFactory) -> Listener:
         """Accept connections at an address from now on; raises OSError if that is impossible."""
 
 
-class Gate(Protocol):
+class AcceptLimit(Protocol):
     """Limits how many waiting connections of a shared listener this worker accepts."""
 
     def take(self) -> int:
@@ -66,7 +66,7 @@
         return ACCEPTS_PER_TURN
 
 
-class Accepting:
+class Acceptor:
     """Accepts connections from one listener while it is open.
 
     The event loop's own accept code closes waiting connections when descriptors are short (EMFILE, ENFILE),
@@ -74,7 +74,11 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, factory: Factory, accept_limit: Gate
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        factory: ProtocolFactory,
+        accept_limit: AcceptLimit,
     ) -> None:
         self._loop, self._socket, self._factory, self._accept_limit = loop, sock, factory, accept_limit
         self._timer: asyncio.TimerHandle | None = None
@@ -147,11 +151,15 @@
             self._socket.close()
 
 
-class OwnDoor(Accepting):
+class OwnListener(Acceptor):
     """A listener of this process, or one from a service manager that only this process accepts from."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, factory: Factory, held_elsewhere: bool
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        factory: ProtocolFactory,
+        held_elsewhere: bool,
     ) -> None:
         """`held_elsewhere`: somebody else holds it, too; connections in its queue are left there."""
         super().__init__(loop, sock, factory, NoAcceptLimit())
@@ -181,7 +189,7 @@
         await self._wait_until_connected()
 
 
-class OwnDoors:
+class OwnListenerFactory:
     """Opens listeners in this process, or uses those that a service manager has opened for it."""
 
     def __init__(
@@ -189,17 +197,17 @@
     ) -> None:
         self._loop, self._passed_in = loop, passed_in or {}
 
-    async def open(self, address: Address, factory: Factory) -> OwnDoor:
+    async def open(self, address: Address, factory: ProtocolFactory) -> OwnListener:
         """Accept connections at an address from now on; raises OSError if that is impossible."""
         passed_in = self._passed_in.get(address)
         if passed_in is not None:
-            sock = duplicate(passed_in)
+            sock = duplicate_listener(passed_in)
         else:
             sock = await while_short(lambda: socket.create_server(address, backlog=BACKLOG))
-        return OwnDoor(self._loop, sock, factory, held_elsewhere=passed_in is not None)
+        return OwnListener(self._loop, sock, factory, held_elsewhere=passed_in is not None)
 
 
-class SharedDoor(Accepting):
+class SharedListener(Acceptor):
     """A listener that several workers accept from, each no more than its limit allows."""
 
     async def close(self) -> None:
@@ -208,7 +216,7 @@
         await self._wait_until_connected()
 
 
-def activated(environment: MutableMapping[str, str] = os.environ) -> dict[Address, socket.socket]:
+def systemd_listeners(environment: MutableMapping[str, str] = os.environ) -> dict[Address, socket.socket]:
     """Return the listeners passed in by a service manager, by address, and remove its variables.
 
     Raises ValueError if a descriptor is no TCP listener.
@@ -219,13 +227,13 @@
         return {}  # none, or meant for another process
     found = {}
     for descriptor in range(FIRST_DESCRIPTOR, FIRST_DESCRIPTOR + int(count)):
-        sock = listener(descriptor)
+        sock = listener_from_descriptor(descriptor)
         os.set_inheritable(descriptor, False)
         found[sock.getsockname()[:2]] = sock
     return found
 
 
-def inherited(variable: str, environment: Mapping[str, str] = os.environ) -> socket.socket | None:
+def inherited_listener(variable: str, environment: Mapping[str, str] = os.environ) -> socket.socket | None:
     """Return the listener whose descriptor this variable holds; the parent process keeps it open, too.
 
     None without such a variable; raises ValueError if the descriptor is no TCP listener.
@@ -236,14 +244,14 @@
     if not value.isdigit():
         raise ValueError(f"{variable}: {value!r} is no descriptor")
     try:
-        sock = listener(int(value))
+        sock = listener_from_descriptor(int(value))
     except ValueError as error:
         raise ValueError(f"{variable}: {error}") from None
     sock.set_inheritable(False)
     return sock
 
 
-def duplicate(sock: socket.socket) -> socket.socket:
+def duplicate_listener(sock: socket.socket) -> socket.socket:
     """Return a second descriptor of a listener that other processes may be accepting from.
 
     `socket.dup` would set the blocking mode again, which all who share the listener have in common: another
@@ -252,7 +260,7 @@
     return socket.socket(sock.family, sock.type, sock.proto, fileno=os.dup(sock.fileno()))
 
 
-def listener(descriptor: int) -> socket.socket:
+def listener_from_descriptor(descriptor: int) -> socket.socket:
     """Return the listener of a descriptor; raises ValueError if it is none that a front can use."""
     try:
         sock = socket.socket(fileno=descriptor)
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -15,7 +15,7 @@
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.lingering import LingeringClose, has_unread, peer_has_closed
-from lynxreel.fronts.listeners import Door, Doors, OwnDoors
+from lynxreel.fronts.listeners import Listener, ListenerFactory, OwnListenerFactory
 from lynxreel.protocol import commands, resp
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Effect, Settings
@@ -540,11 +540,11 @@
         terms: Terms,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        listener_factory: Doors | None = None,
+        listener_factory: ListenerFactory | None = None,
     ) -> None:
         """`listener_factory` opens the listeners; by default the front opens them itself."""
         self.engine, self.terms, self.loop = engine, terms, loop
-        self._listener_factory = listener_factory or OwnDoors(loop)
+        self._listener_factory = listener_factory or OwnListenerFactory(loop)
         self.connections: set[Connection] = set()
         self.waiting_since: dict[Connection, float] = {}  # clients that must send or read; oldest first
         self.streams: dict[Connection, tuple[int, float]] = {}  # streamed values: bytes sent, and since when
@@ -554,7 +554,7 @@
         self._checking_closes = False
         self._turn_queue: deque[Connection] = deque()  # connections that wait for their turn to be read
         self._max_connections = max_connections
-        self._listeners: dict[tuple[str, int], Door] = {}
+        self._listeners: dict[tuple[str, int], Listener] = {}
         self._sweeping = False
         self.port = 0
         self.leaving = False  # pings are answered that this gateway takes no new work
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -16,7 +16,7 @@
 from lynxreel.engine.engine import Clock, Desk, Engine
 from lynxreel.engine.shutdown_report import ShutdownReport
 from lynxreel.fronts.draining import DrainTimes
-from lynxreel.fronts.listeners import Doors, OwnDoors
+from lynxreel.fronts.listeners import ListenerFactory, OwnListenerFactory
 from lynxreel.fronts.resp2 import Clients, Terms
 from lynxreel.log import log
 from lynxreel.peers.clock import FleetClock
@@ -98,7 +98,7 @@
         known: Known | None,
         loop: asyncio.AbstractEventLoop,
         clock: Clock | None = None,
-        doors: Doors | None = None,
+        doors: ListenerFactory | None = None,
         fleet_clock: FleetClock | None = None,
     ) -> None:
         """`doors`: where the fronts' listeners come from; they open them by themselves by default.
@@ -133,7 +133,7 @@
 
             self.zones = Zones(deployment.zones, self.engine, self.servers, self.mesh, loop)
         desk: Desk = self.cover or self.engine
-        doors = doors or OwnDoors(loop)
+        doors = doors or OwnListenerFactory(loop)
         self.clients = Clients(desk, self._terms(deployment), clients, loop, doors)
         self.web: Web | None = None
         if deployment.http is not None:  # its connections are as many again: docs/openapi.md
--- a/lynxreel/workers/supervisor.py
+++ b/lynxreel/workers/supervisor.py
@@ -26,7 +26,7 @@
 from lynxreel.daemon.codes import ADDRESS, ADDRESS_TAKEN, BAD_CONFIG, INNER_FAULT, OK, PLACE_TAKEN
 from lynxreel.daemon.notify import Notifier
 from lynxreel.daemon.place import Place, Taken
-from lynxreel.fronts.listeners import BACKLOG, activated, listener
+from lynxreel.fronts.listeners import BACKLOG, systemd_listeners, listener_from_descriptor
 from lynxreel.internal_errors import internal_errors
 from lynxreel.log import log
 from lynxreel.protocol.address import Address, read_address
@@ -521,7 +521,7 @@
         wanted = set(self._addresses())
         try:
             for descriptor in rest:
-                own = listener(descriptor)
+                own = listener_from_descriptor(descriptor)
                 address = own.getsockname()[:2]
                 if address in wanted and address not in self._listeners:
                     self._listeners[address] = own
@@ -642,7 +642,7 @@
         log(f"{path}: gateway.listen: more than {MOST_DESCRIPTORS - 1} addresses; mend: name fewer")
         return BAD_CONFIG
     try:
-        given = activated()
+        given = systemd_listeners()
         place.take()
     except ValueError as wrong:
         log(f"LISTEN_FDS: {wrong}")
--- a/lynxreel/workers/worker.py
+++ b/lynxreel/workers/worker.py
@@ -13,7 +13,12 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from lynxreel.fronts.listeners import Factory, SharedDoor, duplicate, listener
+from lynxreel.fronts.listeners import (
+    ProtocolFactory,
+    SharedListener,
+    duplicate_listener,
+    listener_from_descriptor,
+)
 from lynxreel.protocol.address import Address
 from lynxreel.workers.board import Board
 from lynxreel.workers.channel import Channel, Message
@@ -52,18 +57,18 @@
     def __init__(self, post: Post, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self._slot = loop, post.slot
         self.board = Board(post.board, post.rows)
-        own = [listener(descriptor) for descriptor in post.listeners]
+        own = [listener_from_descriptor(descriptor) for descriptor in post.listeners]
         self._listeners: dict[Address, socket.socket] = {one.getsockname()[:2]: one for one in own}
         self._fairness = Fairness()
         self.count: Callable[[], int] = int  # the connections that are open here
 
-    async def open(self, address: Address, factory: Factory) -> SharedDoor:
+    async def open(self, address: Address, factory: ProtocolFactory) -> SharedListener:
         """Take connections there from now on; an OSError where the supervisor holds no listener there."""
         own = self._listeners.get(address)
         if own is None:
             why = "the supervisor holds no listener there; mend: hand over to a new one for that"
             raise OSError(errno.EADDRNOTAVAIL, why)
-        return SharedDoor(self._loop, duplicate(own), factory, self)
+        return SharedListener(self._loop, duplicate_listener(own), factory, self)
 
     def take(self) -> int:
         """How many of the connections that wait this worker takes now."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 import pytest
 
 import lynxreel.__main__ as program
-from lynxreel.fronts.listeners import duplicate, inherited
+from lynxreel.fronts.listeners import duplicate_listener, inherited_listener
 from lynxreel.node import Node
 from tests.net import LOCAL
 from tests.test_operations import ask
@@ -143,11 +143,11 @@
 @pytest.mark.parametrize("value", ["x", "-1", "99999"])
 def test_a_descriptor_that_is_no_listener_is_reported(value: str) -> None:
     with pytest.raises(ValueError):
-        inherited("FD", {"FD": value})
+        inherited_listener("FD", {"FD": value})
 
 
 def test_without_the_variable_nothing_is_inherited() -> None:
-    assert inherited("FD", {}) is None
+    assert inherited_listener("FD", {}) is None
 
 
 @pytest.mark.parametrize(
@@ -179,6 +179,6 @@
     with socket.create_server((LOCAL, 0)) as first:
         first.setblocking(False)
         handed_in = socket.socket(fileno=os.dup(first.fileno()))  # as another process has it
-        with handed_in, duplicate(handed_in) as second:
+        with handed_in, duplicate_listener(handed_in) as second:
             assert not os.get_blocking(first.fileno())
             assert second.getsockname() == first.getsockname()
