--- a/lynxreel/__main__.py
+++ b/lynxreel/__main__.py
@@ -16,7 +16,7 @@
 from lynxreel.daemon.instance import Instance
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes
 from lynxreel.fronts.listeners import OwnListenerFactory, inherited_listener
-from lynxreel.fronts.resp2 import HALF_READ
+from lynxreel.fronts.resp2 import PARTIAL_READ_TIMEOUT
 from lynxreel.log import log
 from lynxreel.node import Deployment, Node, PeerPlan
 from lynxreel.peers.clock import FleetClock
@@ -77,7 +77,7 @@
     accept = 0.0 if shared else ACCEPT
     killed = min(longest, LONGEST_WAIT) + KILL_MARGIN
     answer = max(0.0, killed - ANSWER_MARGIN - accept)
-    return ShutdownTimes(accept, ACCEPT - accept, answer, longest + HALF_READ)
+    return ShutdownTimes(accept, ACCEPT - accept, answer, longest + PARTIAL_READ_TIMEOUT)
 
 
 class Program(Instance):
@@ -148,7 +148,7 @@
             case Do.CLOSE if self._shared:
                 self.node.hold(False)  # the process after it is ready
             case Do.CUT_OFF:
-                self.node.clients.cut_off()
+                self.node.clients.abort_all()
 
     def _move(self) -> None:
         """Go by the addresses in the new file. One that can't be read changes nothing."""
--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from lynxreel.counters.redis import Options
-    from lynxreel.fronts.http import Plan as HttpPlan
+    from lynxreel.fronts.http import HttpConfig
     from lynxreel.etcd.client import Options as EtcdOptions
     from lynxreel.sources.etcd import EtcdList
     from lynxreel.sources.files import FileList
@@ -287,7 +287,7 @@
 
 def _http(
     file: model.OperatorFile, names: Names, settings: api.Settings, before: Deployment | None
-) -> HttpPlan:
+) -> HttpConfig:
     """The HTTP front; a ConfigError where the description, or a file that is named, can't be used."""
     from lynxreel.config.http import plan  # here: only where it is configured
 
--- a/lynxreel/config/http.py
+++ b/lynxreel/config/http.py
@@ -11,7 +11,7 @@
 from lynxreel.config import model
 from lynxreel.config.description import EFFECTS, load, misfits
 from lynxreel.config.read import ConfigError
-from lynxreel.fronts.http import Plan, Serving
+from lynxreel.fronts.http import HttpConfig, ServingConfig
 from lynxreel.openapi.admission import Admission, Key, Terms, Tokens, customer_number
 from lynxreel.openapi.compare import differences
 from lynxreel.openapi.compile import DescriptionError
@@ -24,7 +24,7 @@
 HASH = re.compile("[0-9a-f]{64}")
 
 
-def plan(file: model.OperatorFile, names: Names, settings: Settings, before: Plan | None) -> Plan:
+def plan(file: model.OperatorFile, names: Names, settings: Settings, before: HttpConfig | None) -> HttpConfig:
     """What is served, and where. Raises ConfigError with every problem found."""
     entry = file.http
     assert entry is not None
@@ -63,7 +63,7 @@
         if held.rate > 0:
             window = held.burst / held.rate
             policies[names.plans[held.name]] = f'"{held.name}";q={held.burst:g};w={window:.0f}'
-    serving = Serving(
+    serving = ServingConfig(
         admission,
         Repeats(entry.repeat_keys, entry.repeat_ms / 1e3),
         file.view.most,
@@ -73,7 +73,7 @@
         digest,
         tuple(ip_network(text) for text in entry.trusted_proxies),
     )
-    return Plan(tuple(read_address(address) for address in entry.listen), serving)
+    return HttpConfig(tuple(read_address(address) for address in entry.listen), serving)
 
 
 def _by_place(places: dict[str, int], count: int) -> tuple[bytes, ...]:
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -28,7 +28,7 @@
 from lynxreel.daemon.notify import Notifier
 from lynxreel.daemon.place import Place, Taken
 from lynxreel.fronts.listeners import ListenerFactory, OwnListenerFactory, systemd_listeners
-from lynxreel.fronts.resp2 import HALF_READ
+from lynxreel.fronts.resp2 import PARTIAL_READ_TIMEOUT
 from lynxreel.internal_errors import internal_errors
 from lynxreel.jsonlines import Commands, listen
 from lynxreel.log import log
@@ -396,7 +396,9 @@
     """What the operator file says of a shutdown, and how much of that is kept for the last answers."""
     drain = file.drain
     accept, announce, cut_off = drain.accept_ms / 1e3, drain.announce_ms / 1e3, drain.deadline_ms / 1e3
-    return ShutdownTimes(accept, max(announce, HALF_READ), max(cut_off / 2, cut_off - LAST_ANSWERS), cut_off)
+    return ShutdownTimes(
+        accept, max(announce, PARTIAL_READ_TIMEOUT), max(cut_off / 2, cut_off - LAST_ANSWERS), cut_off
+    )
 
 
 def fit_sockets(file: OperatorFile) -> None:
--- a/lynxreel/fronts/draining.py
+++ b/lynxreel/fronts/draining.py
@@ -58,7 +58,7 @@
         self._await_partial = self._read_pending = True
         self._suspend_task: asyncio.Task[None] | None = None
 
-    def set_aside(self) -> None:
+    def suspend(self) -> None:
         """Close connections, new ones too, until `resume`."""
         if self._suspend_task is None:
             times = DrainTimes(SUSPEND_ANNOUNCE_TIME, math.inf, math.inf)
@@ -66,7 +66,7 @@
                 self._close_connections(times, SUSPENDED_CHECK_INTERVAL)
             )
 
-    def take_back(self) -> None:
+    def resume(self) -> None:
         """Stop closing connections."""
         if self._suspend_task is not None:
             self._suspend_task.cancel()
@@ -82,7 +82,7 @@
         While the drain is announced, a connection is closed only after an answer. So whoever asks on one is
         notified, by the answer to a ping or to the request that would have crossed the close.
         """
-        self.take_back()
+        self.resume()
         await self._close_connections(times, CHECK_INTERVAL)
 
     async def _close_connections(self, times: DrainTimes, interval: float) -> None:
--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Serving:
+class ServingConfig:
     """What the front serves requests with: the routing table and its terms, names for boxes, and so on."""
 
     admission: Admission
@@ -62,27 +62,27 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class HttpConfig:
     """Where HTTP is served, and by what."""
 
     listen: tuple[Address, ...]
-    serving: Serving
+    serving: ServingConfig
 
     @property
     def http_boxes(self) -> bool:
         """Whether boxes speak HTTP, according to the description; else RESP2."""
         return self.serving.admission.table.http_boxes
 
-    def front(
+    def create_front(
         self,
         engine: Desk,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
         listener_factory: ListenerFactory,
         back: bool,
-    ) -> Web:
+    ) -> HttpFront:
         """Create the front, which does not listen yet. `back`: clients may resume requests."""
-        return Web(engine, self.serving, max_connections, loop, listener_factory, back)
+        return HttpFront(engine, self.serving, max_connections, loop, listener_factory, back)
 
 
 class Call:
@@ -93,7 +93,7 @@
                  "whole")  # fmt: skip
 
     def __init__(
-        self, connection: Connection, whole: Whole, serving: Serving, call_id: bytes, back: bool
+        self, connection: Connection, whole: Whole, serving: ServingConfig, call_id: bytes, back: bool
     ) -> None:
         head = whole.head
         self.connection, self.whole, self.serving = connection, whole, serving
@@ -227,7 +227,7 @@
 class Connection(asyncio.Protocol):
     """One client connection."""
 
-    def __init__(self, front: Web) -> None:
+    def __init__(self, front: HttpFront) -> None:
         self.front = front
         self.transport: asyncio.Transport
         self._buffer = bytearray()
@@ -612,13 +612,13 @@
     return joined
 
 
-class Web:
+class HttpFront:
     """The HTTP front: its listeners and all their connections."""
 
     def __init__(
         self,
         engine: Desk,
-        serving: Serving,
+        serving: ServingConfig,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
         listener_factory: ListenerFactory | None = None,
@@ -653,7 +653,7 @@
         if len(self.connections) > self._max_connections:
             connection.transport.abort()
 
-    def adopt(self, serving: Serving) -> None:
+    def reconfigure(self, serving: ServingConfig) -> None:
         """Use another table and terms for new requests; open ones end under those that they began with."""
         self.serving = replace(serving, repeats=self.serving.repeats)
 
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -27,7 +27,9 @@
 ARITY = {b"CALL.GET": 4, b"CALL.POST": 5}
 MAX_COMMAND_STRINGS = 16  # strings in a command; more than any that clients and their libraries send
 MAX_CUSTOMERS = 1 << 33
-HALF_READ = 1.0  # seconds that a drain waits for a first or a partial command: longer than transit takes
+PARTIAL_READ_TIMEOUT = (
+    1.0  # seconds that a drain waits for a first or a partial command: longer than transit takes
+)
 MAX_OPEN_COMMANDS = 64  # commands of one connection that wait for answers; more are not read yet
 MAX_JOINED_BYTES = 1 << 18  # bytes of answers to commands read behind those, once new ones are refused
 COMMANDS_PER_TURN = 64  # commands taken from one connection before others have their turn
@@ -57,24 +59,26 @@
 RESUME_PARAMETERS = {b"back": re.compile(rb"[01]")}  # resumes a request of another instance, if configured
 
 
-class BadCall(ValueError):
+class InvalidCall(ValueError):
     """A client's command is not a valid call; the message is sent as the answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class CallRules:
     """The classes, plans and limits that calls of this deployment are checked against."""
 
     classes: dict[bytes, int]
     unsafe: tuple[bool, ...]  # by class: must not be repeated
     plans: dict[bytes, int]
-    most_units: float
+    max_units: float
     gateways: int  # number of addresses that clients know
     workers: int = 1  # instances behind each address
     patterns: Mapping[bytes, re.Pattern[bytes]] = field(default_factory=lambda: PARAMETERS)  # by name
 
     @classmethod
-    def of(cls, settings: Settings, names: Names, workers: int = 1, back: bool = False) -> Terms:
+    def from_settings(
+        cls, settings: Settings, names: Names, workers: int = 1, back: bool = False
+    ) -> CallRules:
         """Build from settings; `workers` instances share an address. `back`: clients may resume requests."""
         return cls(
             {name.encode(): number for name, number in names.classes.items()},
@@ -102,10 +106,10 @@
         self.request = 0  # number given by the engine; 0 if the engine never accepted the call
         self.strings: list[bytes] = []
 
-    def read(self, strings: list[bytes], terms: Terms) -> None:
-        """Parse a command, or raise BadCall. Servers are sent nothing that is not checked here."""
+    def parse(self, strings: list[bytes], terms: CallRules) -> None:
+        """Parse a command, or raise InvalidCall. Servers are sent nothing that is not checked here."""
         if len(strings) != ARITY[strings[0]]:
-            raise BadCall("wrong number of arguments")
+            raise InvalidCall("wrong number of arguments")
         parameters: dict[bytes, bytes] = {}
         for item in strings[3].split(b","):
             name, _, value = item.partition(b"=")
@@ -114,26 +118,26 @@
                 or (pattern := terms.patterns.get(name)) is None
                 or not pattern.fullmatch(value)
             ):
-                raise BadCall("bad list")
+                raise InvalidCall("bad list")
             parameters[name] = value
         try:
             self.cls, self.plan = terms.classes[parameters[b"c"]], terms.plans[parameters[b"t"]]
             self.patience = int(parameters[b"d"])
         except KeyError:
-            raise BadCall("missing or unknown class, plan or d") from None
+            raise InvalidCall("missing or unknown class, plan or d") from None
         if terms.unsafe[self.cls] is not (strings[0] == b"CALL.POST"):
-            raise BadCall("wrong command for the class")
+            raise InvalidCall("wrong command for the class")
         if not CUSTOMER_PATTERN.fullmatch(strings[1]) or (customer := int(strings[1], 16)) >= MAX_CUSTOMERS:
-            raise BadCall("bad customer")
+            raise InvalidCall("bad customer")
         if not ID_PATTERN.fullmatch(strings[2]):
-            raise BadCall("bad id")
+            raise InvalidCall("bad id")
         self.customer, self.id, self.strings = customer, strings[2], strings
         self.units = float(parameters.get(b"units", 1))
         self.spread, self.first = int(parameters.get(b"spread", 1)), int(parameters.get(b"first", 0))
         self.retry, self.back = parameters.get(b"r") == b"1", parameters.get(b"back") == b"1"
         in_range = 1 <= self.spread <= terms.gateways and self.first < terms.gateways
-        if not (0 < self.units <= terms.most_units and self.patience > 0 and in_range):
-            raise BadCall("number out of range")
+        if not (0 < self.units <= terms.max_units and self.patience > 0 and in_range):
+            raise InvalidCall("number out of range")
         # Any worker of a gateway may get the request: count workers, not gateways.
         self.spread, self.first = self.spread * terms.workers, self.first * terms.workers
 
@@ -179,7 +183,7 @@
 
     QUEUE_FULL, AWAITING_TURN, ANSWERS_UNREAD = 1, 2, 4  # reasons to pause reading
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: Resp2Front) -> None:
         self._clients = clients
         self._reader = resp.Reader(MAX_COMMAND_STRINGS)
         self._pause_reasons = 0
@@ -308,18 +312,18 @@
         self._clients.idle_since.pop(self, None)
         try:
             if strings[0] in ARITY:
-                call.read(strings, self._clients.terms)
+                call.parse(strings, self._clients.terms)
                 call.request = self._clients.engine.submit(call)
                 if not call.request:
                     # Rule 2: at a server, the id of an open request denotes a second copy of that request.
-                    raise BadCall("the id is taken")
+                    raise InvalidCall("the id is taken")
                 if (report := self._clients.report) is not None:
                     report.request_read(call.id, call.cls, self._history, call.patience / 1e3)
                 return True
             if strings[0].upper() != b"PING":
-                raise BadCall("unknown command")
+                raise InvalidCall("unknown command")
             call.reply = b"-DRAINING no new work\r\n" if self._clients.leaving else b"+PONG\r\n"
-        except BadCall as error:
+        except InvalidCall as error:
             call.reply = b"-ERR %b\r\n" % str(error).encode()
             self.flush()
             return False
@@ -475,7 +479,10 @@
             return True
         if not self._nothing_received and self._reader.empty():
             return False
-        return self._clients.loop.time() - self._clients.waiting_since.get(self, -math.inf) < HALF_READ
+        return (
+            self._clients.loop.time() - self._clients.waiting_since.get(self, -math.inf)
+            < PARTIAL_READ_TIMEOUT
+        )
 
     def _may_have_unread(self) -> bool:
         """Whether bytes may be unread. The sweep closes connections whose answers are never read."""
@@ -531,13 +538,13 @@
         self.queue.clear()
 
 
-class Clients:
+class Resp2Front:
     """The RESP2 front: its listeners and all its connections."""
 
     def __init__(
         self,
         engine: Desk,
-        terms: Terms,
+        terms: CallRules,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
         listener_factory: ListenerFactory | None = None,
@@ -576,7 +583,7 @@
         for address in addresses or list(self._listeners):
             await self._listeners.pop(address).close()
 
-    def adopt(self, terms: Terms, max_connections: int) -> None:
+    def reconfigure(self, terms: CallRules, max_connections: int) -> None:
         """Use other names and another limit on connections; the limit applies to new connections."""
         self.terms, self._max_connections = terms, max_connections
 
@@ -708,15 +715,15 @@
         """The addresses that it listens at."""
         return list(self._listeners)
 
-    def set_aside(self) -> None:
+    def suspend(self) -> None:
         """Answer pings with -DRAINING and close connections, new ones too, until `resume`."""
         self.leaving = True
-        self.draining.set_aside()
+        self.draining.suspend()
 
-    def take_back(self) -> None:
+    def resume(self) -> None:
         """Serve clients again as before `suspend`."""
         self.leaving = False
-        self.draining.take_back()
+        self.draining.resume()
 
     def refuse_after(self, seconds: float) -> None:
         """The engine refuses commands that come after so many seconds. A later call can't postpone it."""
@@ -732,7 +739,7 @@
         await self.unlisten()
         await self.draining.drain(times)
 
-    def cut_off(self) -> None:
+    def abort_all(self) -> None:
         """Abort all connections. Clients that never read must not keep the process from ending."""
         for connection in list(self.connections):
             connection.transport.abort()
--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -17,7 +17,7 @@
 from lynxreel.engine.shutdown_report import ShutdownReport
 from lynxreel.fronts.draining import DrainTimes
 from lynxreel.fronts.listeners import ListenerFactory, OwnListenerFactory
-from lynxreel.fronts.resp2 import Clients, Terms
+from lynxreel.fronts.resp2 import CallRules, Resp2Front
 from lynxreel.log import log
 from lynxreel.peers.clock import FleetClock
 from lynxreel.peers.datagrams import Peers
@@ -30,8 +30,7 @@
 
 if TYPE_CHECKING:
     from lynxreel.counters.redis import Options, RedisCounter
-    from lynxreel.fronts.http import Plan as HttpPlan
-    from lynxreel.fronts.http import Web
+    from lynxreel.fronts.http import HttpConfig, HttpFront
     from lynxreel.links.mesh import Mesh
     from lynxreel.links.mesh import Plan as LinksPlan
     from lynxreel.membership.core import Publish
@@ -72,7 +71,7 @@
     # Places of classes and of plans by name, also of those that are out of use.
     places: tuple[dict[str, int], dict[str, int]] = ({}, {})
     beat: int = 0  # microseconds between looks whether the counter is still the one that it was; 0: none
-    http: HttpPlan | None = None
+    http: HttpConfig | None = None
     workers: int = 1  # instances behind each address
     part: float = 1.0  # of its even share of ceilings that this instance holds
     held: int = 16 << 20  # bytes that may be held of values that are passed on as they come
@@ -134,11 +133,11 @@
             self.zones = Zones(deployment.zones, self.engine, self.servers, self.mesh, loop)
         desk: Desk = self.cover or self.engine
         doors = doors or OwnListenerFactory(loop)
-        self.clients = Clients(desk, self._terms(deployment), clients, loop, doors)
-        self.web: Web | None = None
+        self.clients = Resp2Front(desk, self._terms(deployment), clients, loop, doors)
+        self.web: HttpFront | None = None
         if deployment.http is not None:  # its connections are as many again: docs/openapi.md
             back = deployment.takeover is not None
-            self.web = deployment.http.front(desk, clients // 2, loop, doors, back)
+            self.web = deployment.http.create_front(desk, clients // 2, loop, doors, back)
         self.peers = fleet_clock.peers if fleet_clock is not None else deployment.make_peers(loop)
         self._fleet_clock = fleet_clock
         if self.peers is not None:
@@ -161,9 +160,9 @@
             self.engine.post(message)
 
     @staticmethod
-    def _terms(deployment: Deployment) -> Terms:
+    def _terms(deployment: Deployment) -> CallRules:
         back = deployment.takeover is not None
-        return Terms.of(deployment.settings, deployment.names, deployment.workers, back)
+        return CallRules.from_settings(deployment.settings, deployment.names, deployment.workers, back)
 
     @staticmethod
     def _wire(deployment: Deployment) -> Wire:
@@ -366,9 +365,9 @@
             self.servers.adopt(settings, names.idle, servers)
             if self.cover is not None:
                 self.cover.adopt(settings, deployment.places)
-            self.clients.adopt(self._terms(deployment), clients)
+            self.clients.reconfigure(self._terms(deployment), clients)
             if self.web is not None and deployment.http is not None:
-                self.web.adopt(deployment.http.serving)
+                self.web.reconfigure(deployment.http.serving)
             if isinstance(self.source, Discovery) and isinstance(deployment.discovery, tuple):
                 self.source.adopt(names, self._list_terms(settings))
                 self.source.move(deployment.discovery)
@@ -389,15 +388,15 @@
 
     def set_aside(self) -> None:
         """Keep no client until `take_back`: those that are here are served, and those that come are told."""
-        self.clients.set_aside()
+        self.clients.suspend()
         if self.web is not None:
-            self.web.draining.set_aside()
+            self.web.draining.suspend()
 
     def take_back(self) -> None:
         """Clients are welcome again."""
-        self.clients.take_back()
+        self.clients.resume()
         if self.web is not None:
-            self.web.draining.take_back()
+            self.web.draining.resume()
 
     def follow_shutdown(self, state: str) -> ShutdownReport:
         """The process is to end and has entered this state: from now on it tells what becomes of requests."""
--- a/tests/net.py
+++ b/tests/net.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from lynxreel.fronts.draining import DrainTimes
-from lynxreel.fronts.resp2 import Terms
+from lynxreel.fronts.resp2 import CallRules
 from lynxreel.engine.engine import Attempt, Clock
 from lynxreel.protocol.resp import pack
 from mothgap.interface import Result
@@ -15,7 +15,7 @@
 
 LOCAL = "127.0.0.1"
 NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
-TERMS = Terms({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, most_units=4.0, gateways=3)
+TERMS = CallRules({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, max_units=4.0, gateways=3)
 CUSTOMER = b"00000000000000ab"
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 
 import mothgap.rules
 from lynxreel.engine import engine as gateway
-from lynxreel.fronts.resp2 import Clients
+from lynxreel.fronts.resp2 import Resp2Front
 from lynxreel.engine.engine import Clock, Engine
 from lynxreel.backends.pools import Servers
 from lynxreel.backends.resp2 import Resp2
@@ -66,7 +66,7 @@
             engine.backend = servers
             servers.update(at(peer.port), True)
             engine.counter = Counts(engine)
-            clients = Clients(engine, TERMS, 8, loop)
+            clients = Resp2Front(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
             servers.close()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -19,7 +19,7 @@
 import jwt
 import pytest
 
-from lynxreel.fronts.resp2 import HALF_READ
+from lynxreel.fronts.resp2 import PARTIAL_READ_TIMEOUT
 from lynxreel.local.deployment import HOST, Deployment, Gateway
 from lynxreel.local.run import hint
 from lynxreel.openapi.repeats import Found, Repeats
@@ -636,7 +636,7 @@
             before = came(deployment)
             deployment.do("drain", (0,))
             await told(gateway, state="draining")
-            await asyncio.sleep(HALF_READ + 0.1)  # after this, new requests are refused
+            await asyncio.sleep(PARTIAL_READ_TIMEOUT + 0.1)  # after this, new requests are refused
             client.writer.write(body[5:])
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (429, "close")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,7 @@
 from lynxreel.backends.pools import Servers
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.engine.engine import Attempt, Engine
-from lynxreel.fronts.resp2 import Clients
+from lynxreel.fronts.resp2 import Resp2Front
 from lynxreel.protocol.resp import MOST_STREAM
 from lynxreel.relay.budget import LEAST, Budget
 from lynxreel.relay.stream import Stream
@@ -100,7 +100,7 @@
             engine, SETTINGS, 60_000_000, 64, loop, Resp2(), self.budget
         )
         self.servers.update([(Member("s-1", State.READY), (LOCAL, peer.port))], True)
-        self.clients = Clients(engine, TERMS, 64, loop)
+        self.clients = Resp2Front(engine, TERMS, 64, loop)
 
     async def client(self) -> Ends:
         return await asyncio.open_connection(LOCAL, self.clients.port, limit=1 << 23)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from lynxreel.config.overlay import overlay
 from lynxreel.config.read import ConfigError, parse
 from lynxreel.fleet.views import View
-from lynxreel.fronts.resp2 import Call, Terms
+from lynxreel.fronts.resp2 import Call, CallRules
 from lynxreel.local import files
 from lynxreel.standins import world
 
@@ -89,8 +89,8 @@
     assert (own.gateway.name, own.gateway.number, own.view) == (f"{FILE.gateway.name}-2", 6, View(8, 12))
     assert own.state.folder == f"{FILE.state.folder}/worker-2b"
     assert own.records is not None and own.records.file.endswith("records-2b.jsonl")
-    terms = Terms.of(deploy(own).settings, deploy(own).names, 4)
+    terms = CallRules.from_settings(deploy(own).settings, deploy(own).names, 4)
     call = Call(None)  # type: ignore[arg-type]
     words = [b"CALL.GET", b"%016x" % 7, b"r1", b"c=lookup,t=basic,d=100,spread=2,first=1"]
-    call.read(words, terms)
+    call.parse(words, terms)
     assert (call.spread, call.first) == (8, 4), "all workers of the two gateways"
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lynxreel.__main__ import read_deployment
-from lynxreel.fronts.resp2 import BadCall, Call, Terms
+from lynxreel.fronts.resp2 import InvalidCall, Call, CallRules
 from mothgap.interface import Effect, Group, Refuse, Send
 from mothgap.settings import read_settings
 from tests.helpers import MS, SECOND, Driver
@@ -92,12 +92,12 @@
     }  # fmt: skip
 
 
-def accepts(terms: Terms, command: bytes, cls: str, plan_name: str) -> bool:
+def accepts(terms: CallRules, command: bytes, cls: str, plan_name: str) -> bool:
     """Whether a call of this class and plan is one."""
     words = [command, CUSTOMER, b"1", f"c={cls},t={plan_name},d=900".encode()]
     try:
-        Call(None).read(words + [b"BODY"] * (command == b"CALL.POST"), terms)  # type: ignore[arg-type]
-    except BadCall:
+        Call(None).parse(words + [b"BODY"] * (command == b"CALL.POST"), terms)  # type: ignore[arg-type]
+    except InvalidCall:
         return False
     return True
 
@@ -132,7 +132,7 @@
     seen: dict[str, set[str]] = {}
     for name in [*SITES, *reversed(SITES)]:
         deployment = read_deployment(config(name))
-        terms = Terms.of(deployment.settings, deployment.names)
+        terms = CallRules.from_settings(deployment.settings, deployment.names)
         for each in site(name)["class"]:
             post = each["effect"] != "safe"
             for known in site(name)["tenant"]:
