--- a/bench/upgrades.py
+++ b/bench/upgrades.py
@@ -12,7 +12,7 @@
 
 from tests.test_operations import ask
 from tests.test_process import GATEWAY, config, free_port, start
-from tests.test_upgrade import Pings, running
+from tests.test_upgrade import PingClient, wait_until_ready
 
 UPGRADES = 100
 
@@ -28,13 +28,13 @@
     ):
         ports = discovery.getsockname()[1], counter.getsockname()[1], platforms.getsockname()[1]
         given, ready, ended = config(*ports), list[float](), list[float]()
-        old, pings = None, Pings(ports[2])
+        old, pings = None, PingClient(ports[2])
         try:
             for _ in range(UPGRADES + 1):
                 operator, began = free_port(), time.monotonic()
                 text = json.dumps({**given, "operator": f"{GATEWAY}:{operator}"})
                 new = start(Path(folder), text, platforms)
-                running(new, operator)
+                wait_until_ready(new, operator)
                 ready.append(time.monotonic() - began)
                 pings.more(20)
                 if old is not None:
--- a/tests/net.py
+++ b/tests/net.py
@@ -43,15 +43,15 @@
     return resp(b"CALL.GET", CUSTOMER, b"%016x" % number, terms)
 
 
-class Peer:
-    """A listener that the test controls; `came` has received data in order, b"" at a connection's end."""
+class ScriptedServer:
+    """A listener that the test controls; `received` has received data in order, b"" at a connection's end."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
         self.port = 0
 
-    async def __aenter__(self) -> "Peer":
+    async def __aenter__(self) -> "ScriptedServer":
         self._server = await asyncio.start_server(self._serve, LOCAL, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -64,18 +64,18 @@
                 data = await reader.read(1 << 20)
             except ConnectionError:
                 data = b""
-            self.came.put_nowait((writer, data))
+            self.received.put_nowait((writer, data))
 
-    async def hear(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
+    async def receive(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
         """Return what is received next, up to this ending or up to the end of a connection."""
-        writer, data = await self.came.get()
+        writer, data = await self.received.get()
         while data and not data.endswith(end):
-            data += (await self.came.get())[1]
+            data += (await self.received.get())[1]
         return writer, data
 
     async def answer(self, reply: bytes) -> bytes:
         """Receive a command and answer it."""
-        writer, data = await self.hear()
+        writer, data = await self.receive()
         writer.write(reply)
         return data
 
@@ -85,15 +85,15 @@
             writer.transport.abort()
 
 
-class Heard:
+class EngineStandIn:
     """A stand-in for the engine: records what it is given."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.ended: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
         self.calls: asyncio.Queue[Any] = asyncio.Queue()
-        self.left: asyncio.Queue[int] = asyncio.Queue()
-        self.taken: set[bytes] = set()
+        self.disconnected: asyncio.Queue[int] = asyncio.Queue()
+        self.open_ids: set[bytes] = set()
         self._count = 0
 
     def finished(
@@ -102,11 +102,11 @@
         self.ended.put_nowait((attempt.request, result, value, load))
 
     def submit(self, call: Any) -> int:
-        if call.id in self.taken:
+        if call.id in self.open_ids:
             return 0
         self.calls.put_nowait(call)
         self._count += 1
         return self._count
 
     def gone(self, request: int) -> None:
-        self.left.put_nowait(request)
+        self.disconnected.put_nowait(request)
--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -14,7 +14,7 @@
 from lynxreel.fronts.resp2 import MAX_OPEN_COMMANDS, COMMANDS_PER_TURN, Resp2Front, Connection
 from lynxreel.openapi.admission import Admission
 from lynxreel.openapi.repeats import Repeats
-from tests.net import LOCAL, TERMS, Heard, call, resp, run, until
+from tests.net import LOCAL, TERMS, EngineStandIn, call, resp, run, until
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 SERVED = b"$3\r\none\r\n"
@@ -45,10 +45,10 @@
 
 
 Connect = Callable[[], Awaitable[tuple[Client, Connection]]]
-Scenario = Callable[[Heard, Resp2Front, Connect], Awaitable[None]]
+Scenario = Callable[[EngineStandIn, Resp2Front, Connect], Awaitable[None]]
 
 
-class RefusingEngine(Heard):
+class RefusingEngine(EngineStandIn):
     """A stand-in for the engine in a shutdown: a request is refused in the next iteration of the loop."""
 
     def __init__(self) -> None:
@@ -66,8 +66,8 @@
         return 1
 
 
-def play(scenario: Scenario, max_connections: int = 8, engine: Heard | None = None) -> None:
-    engine = engine or Heard()
+def play(scenario: Scenario, max_connections: int = 8, engine: EngineStandIn | None = None) -> None:
+    engine = engine or EngineStandIn()
 
     async def start() -> None:
         clients = Resp2Front(cast(Engine, engine), TERMS, max_connections, asyncio.get_running_loop())
@@ -105,7 +105,7 @@
 
 def test_a_request_received_before_the_close_of_an_idle_connection_is_answered() -> None:
     # The close is delayed until what the client wrote in time has been read.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, call(1))
         connection.end()
@@ -117,7 +117,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_discarded_and_not_reset() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, call(1))
         connection.end(await_partial=False)
@@ -130,7 +130,7 @@
 
 
 def test_an_answer_arrives_complete_though_garbage_after_its_request_is_never_read() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.sendall(call(1) + b"no command\r\n")
         first = await engine.calls.get()  # reading has stopped: what arrives now stays unread
@@ -146,7 +146,7 @@
     monkeypatch.setattr(lingering, "DISCARD_LIMIT", 1_000)
     monkeypatch.setattr(lingering, "LINGER_SECONDS", 3_600.0)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         connection.end()
         assert await client.read_all() == b""
@@ -160,7 +160,7 @@
 def test_a_client_that_never_closes_is_cut_off_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lingering, "LINGER_SECONDS", 0.01)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         connection.end()
         assert await client.read_all() == b""
@@ -170,7 +170,7 @@
 
 
 def test_the_connection_closed_to_make_room_has_no_unread_request() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         oldest, of_oldest = await connect()
         second, _ = await connect()
         of_oldest.transport.pause_reading()  # its request stays unread while the third client connects
@@ -186,7 +186,7 @@
 
 
 def test_a_closing_connection_makes_room_before_one_that_is_in_use() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         idle, _ = await connect()
         closing, of_closing = await connect()
         of_closing.end()
@@ -199,14 +199,14 @@
 
 
 def test_a_client_that_closes_a_paused_connection_counts_as_disconnected() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.sendall(b"".join(call(number) for number in range(MAX_OPEN_COMMANDS)))
         for _ in range(MAX_OPEN_COMMANDS):
             await engine.calls.get()
         arrive(client, connection, call(MAX_OPEN_COMMANDS))  # unread: the queue is full
         client.socket.close()
-        left = {await engine.left.get() for _ in range(MAX_OPEN_COMMANDS)}
+        left = {await engine.disconnected.get() for _ in range(MAX_OPEN_COMMANDS)}
         assert left == set(range(1, MAX_OPEN_COMMANDS + 1))
         assert engine.calls.empty()
 
@@ -214,13 +214,13 @@
 
 
 def test_a_client_that_only_stops_sending_is_disconnected_but_gets_earlier_answers() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, _ = await connect()
         client.socket.sendall(call(1) + call(2))
         first, second = await engine.calls.get(), await engine.calls.get()
         first.served(b"one")
         client.socket.shutdown(socket.SHUT_WR)
-        assert await engine.left.get() == 2
+        assert await engine.disconnected.get() == 2
         second.served(b"two")
         assert await client.read_all() == SERVED
         await until(lambda: not clients.connections)
@@ -233,7 +233,7 @@
 ) -> None:
     monkeypatch.setattr(resp2, "CLIENT_TIMEOUT", 3_600.0)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         own = connection.transport.get_extra_info("socket")
         own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 50_000)
@@ -246,14 +246,14 @@
                 await asyncio.sleep(0)
         assert not connection._pause_reasons  # the connection is still read: the end of input is noticed
         client.socket.shutdown(socket.SHUT_WR)
-        left = {await engine.left.get() for _ in calls}
+        left = {await engine.disconnected.get() for _ in calls}
         assert left == set(range(MAX_OPEN_COMMANDS - len(calls), MAX_OPEN_COMMANDS))
 
     play(scenario)
 
 
 def test_answers_are_sent_without_nagles_algorithm() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         _, connection = await connect()
         own = connection.transport.get_extra_info("socket")
         assert own.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -263,7 +263,7 @@
 
 def test_commands_behind_a_ping_are_answered_though_the_front_is_closing() -> None:
     # Closed between two commands, the second would be forwarded and its answer lost.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         clients.draining.closing = True
         arrive(client, connection, PING + call(1))
@@ -275,7 +275,7 @@
 
 def test_commands_that_wait_behind_a_full_queue_are_answered_though_the_front_is_closing() -> None:
     # Commands may be buffered but not taken when answers that arrive together empty the queue.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, b"".join(call(number) for number in range(MAX_OPEN_COMMANDS + 8)))
         calls = [await engine.calls.get() for _ in range(MAX_OPEN_COMMANDS)]
@@ -291,7 +291,7 @@
 
 def test_commands_behind_one_that_is_unknown_are_answered_though_the_front_ends() -> None:
     # After an unknown command reading is paused on purpose, to save CPU time.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.sendall(resp(b"SELECT", b"1"))
         assert (await client.read(len(UNKNOWN))) == UNKNOWN
@@ -310,7 +310,7 @@
     # To save memory and descriptors. Taking commands in turns is no sign that the client reads.
     monkeypatch.setattr(resp2, "CLIENT_TIMEOUT", 0.5)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.setblocking(False)
         stuck = 0
@@ -346,7 +346,7 @@
     # Left unread until the queue is answered, they are too many for the time before the kill.
     engine, behind = RefusingEngine(), 10 * COMMANDS_PER_TURN + 5
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection, calls = await refusing_behind_a_full_queue(engine, clients, connect, behind)
         connection.end()  # as each check of the drain does
         await until(lambda: engine.refused == behind)
@@ -364,7 +364,7 @@
     engine, behind = RefusingEngine(), 10 * COMMANDS_PER_TURN + 5
     monkeypatch.setattr(resp2, "MAX_JOINED_BYTES", 3 * COMMANDS_PER_TURN * len(REFUSED))
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection, calls = await refusing_behind_a_full_queue(engine, clients, connect, behind)
         for _ in range(100):
             connection.end()
@@ -382,7 +382,7 @@
 def test_others_have_their_turn_between_commands_read_behind_a_full_queue() -> None:
     engine, behind = RefusingEngine(), 20 * COMMANDS_PER_TURN
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         other, of_other = await connect()
         _, connection, _ = await refusing_behind_a_full_queue(engine, clients, connect, behind)
         arrive(other, of_other, PING)
@@ -395,7 +395,7 @@
 
 def test_nothing_is_read_behind_a_full_queue_while_new_commands_are_accepted() -> None:
     # One connection must not have more open commands than allowed.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, b"".join(call(number) for number in range(MAX_OPEN_COMMANDS)))
         for _ in range(MAX_OPEN_COMMANDS):
@@ -419,7 +419,7 @@
     engine, written = RefusingEngine(), 20 * COMMANDS_PER_TURN
     engine.refusing = True
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.sendall(resp(b"SELECT", b"1"))
         assert (await client.read(len(UNKNOWN))) == UNKNOWN
@@ -438,7 +438,7 @@
     engine, written = RefusingEngine(), 20 * COMMANDS_PER_TURN
     engine.refusing = True
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, b"".join(call(number) for number in range(written)))
         drain = asyncio.create_task(clients.drain(DrainTimes(announce=0.0, patience=60.0, cut_off=120.0)))
@@ -454,7 +454,7 @@
     engine = RefusingEngine()
     engine.refusing = True
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         arrive(client, connection, b"".join(call(number) for number in range(4 * COMMANDS_PER_TURN)))
         drain = asyncio.create_task(clients.drain(DrainTimes(announce=0.0, patience=0.0, cut_off=120.0)))
@@ -483,7 +483,7 @@
 def test_received_http_requests_are_answered_after_the_drains_patience() -> None:
     async def start() -> None:
         serving = http.ServingConfig(cast(Admission, Options()), Repeats(1, 1.0), 1)
-        front = http.HttpFront(cast(Engine, Heard()), serving, 8, asyncio.get_running_loop())
+        front = http.HttpFront(cast(Engine, EngineStandIn()), serving, 8, asyncio.get_running_loop())
         await front.listen(LOCAL, 0)
         client = Client(front.addresses[0][1])
         client.socket.sendall(OPTIONS)
@@ -508,7 +508,7 @@
     # The time must not count from an earlier try: the sweep may try to close an idle one repeatedly.
     monkeypatch.setattr(resp2, "PARTIAL_READ_TIMEOUT", 0.02)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(engine: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         for number in range(2):
             arrive(client, connection, call(number))
@@ -530,7 +530,7 @@
     engine, written = RefusingEngine(), 200 * COMMANDS_PER_TURN
     engine.refusing = True
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         client, connection = await connect()
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 5_000)
         own = connection.transport.get_extra_info("socket")
@@ -557,7 +557,7 @@
     engine, connections, written = RefusingEngine(), 6, 6 * COMMANDS_PER_TURN
     engine.refusing = True
 
-    async def scenario(__: Heard, clients: Resp2Front, connect: Connect) -> None:
+    async def scenario(__: EngineStandIn, clients: Resp2Front, connect: Connect) -> None:
         pairs = [await connect() for _ in range(connections)]
         if shutdown:
             clients.refuse_after(0.0)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,16 +10,16 @@
 
 from lynxreel.fronts.resp2 import MAX_OPEN_COMMANDS, Resp2Front
 from lynxreel.engine.engine import Engine
-from tests.net import CUSTOMER, LOCAL, TERMS, Heard, call, drain_times, resp, run, until
+from tests.net import CUSTOMER, LOCAL, TERMS, EngineStandIn, call, drain_times, resp, run, until
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Scenario = Callable[[Heard, Resp2Front, Callable[[], Awaitable[Streams]]], Awaitable[None]]
+Scenario = Callable[[EngineStandIn, Resp2Front, Callable[[], Awaitable[Streams]]], Awaitable[None]]
 
 
 def play(scenario: Scenario, max_connections: int = 8) -> None:
     async def start() -> None:
-        engine = Heard()
+        engine = EngineStandIn()
         clients = Resp2Front(cast(Engine, engine), TERMS, max_connections, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         await scenario(engine, clients, lambda: asyncio.open_connection(LOCAL, clients.port))
@@ -30,7 +30,9 @@
 
 
 def test_answers_keep_the_order_of_the_commands() -> None:
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2) + PING + call(3))
         first, second, third = [await engine.calls.get() for _ in range(3)]
@@ -47,7 +49,9 @@
 
 
 def test_a_call_in_pieces_is_read_and_forwarded_with_the_gateways_wait() -> None:
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         _, writer = await connect()
         terms = b"c=order,t=basic,d=480,units=1.5,spread=3,first=1,r=1,k=d=7"
         data = resp(b"CALL.POST", CUSTOMER, b"9b1f03aa5c7e2d41", terms, b"b\r\n\0dy")
@@ -109,7 +113,9 @@
     ],
 )
 def test_a_bad_command_gets_an_error_and_the_connection_goes_on(words: tuple[bytes, ...]) -> None:
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(resp(*words) + PING)
         assert (await reader.readline()).startswith(b"-ERR ")
@@ -140,7 +146,9 @@
     ],
 )
 def test_malformed_input_gets_an_error_after_pending_answers_and_a_close(data: bytes) -> None:
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(call(1))
         got = await engine.calls.get()
@@ -160,22 +168,26 @@
 
 
 def test_a_disconnected_client_is_reported_to_the_engine_and_gets_no_answer() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         _, writer = await connect()
         writer.write(call(1) + call(2))
         first, second = await engine.calls.get(), await engine.calls.get()
         second.failed()
         writer.transport.abort()
-        assert await engine.left.get() == 1
+        assert await engine.disconnected.get() == 1
         first.served(b"late")
         await until(lambda: not clients.connections)
-        assert engine.left.empty()
+        assert engine.disconnected.empty()
 
     play(scenario)
 
 
 def test_the_longest_idle_connection_makes_room() -> None:
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         busy, idle = await connect(), await connect()
         busy[1].write(call(1))
         got = await engine.calls.get()
@@ -192,7 +204,9 @@
 
 
 def test_after_a_stop_accepted_commands_are_answered_and_all_connections_closed() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         idle, busy = await connect(), await connect()
         busy[1].write(call(1))
         got = await engine.calls.get()
@@ -218,7 +232,9 @@
 ) -> None:
     monkeypatch.setattr("lynxreel.fronts.draining.SUSPEND_ANNOUNCE_TIME", 0.05)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         idle, busy, asking = await connect(), await connect(), await connect()
         idle[1].write(PING)
         assert await idle[0].readline() == PONG
@@ -251,7 +267,9 @@
     monkeypatch.setattr("lynxreel.fronts.draining.SUSPEND_ANNOUNCE_TIME", 0.0)
     monkeypatch.setattr("lynxreel.fronts.resp2.PARTIAL_READ_TIMEOUT", 0.2)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         half, silent, late, new = [await connect() for _ in range(4)]
         half[1].write(call(1)[:-5])
         late[1].write(call(2)[:-5])
@@ -272,7 +290,9 @@
 def test_a_half_read_command_does_not_block_the_stop_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lynxreel.fronts.resp2.PARTIAL_READ_TIMEOUT", 0.02)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2)[:-5])
         got = await engine.calls.get()
@@ -286,8 +306,10 @@
 
 def test_the_id_of_an_open_request_is_rejected() -> None:
     # Rule 2: at a server, it would denote a second copy of the open request.
-    async def scenario(engine: Heard, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
-        engine.taken.add(b"%016x" % 1)
+    async def scenario(
+        engine: EngineStandIn, __: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
+        engine.open_ids.add(b"%016x" % 1)
         reader, writer = await connect()
         writer.write(call(1) + PING)
         assert (await reader.readline()).startswith(b"-ERR ")
@@ -299,7 +321,9 @@
 
 def test_what_follows_a_malformed_command_is_not_read() -> None:
     # To save CPU time: a client may go on sending at full speed while an earlier answer is pending.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(call(1) + b"nonsense")
         got = await engine.calls.get()
@@ -313,7 +337,9 @@
 
 def test_open_commands_of_a_connection_are_bounded_and_all_get_their_answers() -> None:
     # To bound memory and each client's share: of hundreds of commands, most wait in the socket.
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(b"".join(call(number) for number in range(200)) + PING)
         first = await engine.calls.get()
@@ -337,7 +363,9 @@
     # A client that resends a rejected command at once must not use up the CPU time of others.
     monkeypatch.setattr("lynxreel.fronts.resp2.INVALID_COMMAND_PAUSE", 0.02)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         reader, writer = await connect()
         writer.write(resp(b"GET", b"x"))
         assert (await reader.readline()).startswith(b"-ERR ")
@@ -357,7 +385,9 @@
     monkeypatch.setattr("lynxreel.fronts.resp2.CLIENT_TIMEOUT", 0.02)
     monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP_INTERVAL", 0.01)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         idle_reader, idle = await connect()
         idle.write(PING)
         assert await idle_reader.readline() == PONG
@@ -374,7 +404,9 @@
 
 
 def test_silent_connections_make_room_before_those_that_were_served() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         served = [await connect() for _ in range(4)]
         for reader, writer in served:
             writer.write(PING)
@@ -391,7 +423,9 @@
 
 
 def test_there_are_never_more_connections_than_allowed() -> None:
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         streams = [await connect() for _ in range(2)]
         for number, (_, writer) in enumerate(streams):
             writer.write(call(number))
@@ -408,7 +442,9 @@
 def test_a_client_that_never_reads_does_not_block_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lynxreel.fronts.resp2.PARTIAL_READ_TIMEOUT", 0.02)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         _, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1))
@@ -426,7 +462,9 @@
     monkeypatch.setattr("lynxreel.fronts.resp2.MIN_IDLE_TIME", 0.0)
     monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP_INTERVAL", 0.01)
 
-    async def scenario(engine: Heard, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(
+        engine: EngineStandIn, clients: Resp2Front, connect: Callable[[], Awaitable[Streams]]
+    ) -> None:
         streams = [await connect() for _ in range(4)]
         for reader, writer in streams:
             writer.write(PING)
@@ -442,7 +480,7 @@
 
 def test_connections_that_the_system_has_accepted_are_served_when_the_listener_closes() -> None:
     async def scenario() -> None:
-        clients = Resp2Front(cast(Engine, Heard()), TERMS, 64, asyncio.get_running_loop())
+        clients = Resp2Front(cast(Engine, EngineStandIn()), TERMS, 64, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         # The event loop does not run between these and the close: they wait in the listener's queue.
         waiting = [socket.create_connection((LOCAL, clients.port)) for _ in range(20)]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -18,7 +18,7 @@
 from mothgap import interface as api
 from lynxreel.relay.budget import Budget
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, TERMS, Peer, call, resp, run
+from tests.net import LOCAL, TERMS, ScriptedServer, call, resp, run
 from tests.test_servers import LONG, OK, at
 
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -52,7 +52,7 @@
 def play(
     monkeypatch: pytest.MonkeyPatch,
     script: Script,
-    scenario: Callable[[Engine, Peer, Ends], Awaitable[None]],
+    scenario: Callable[[Engine, ScriptedServer, Ends], Awaitable[None]],
 ) -> list[api.Event]:
     """Play a scenario with one client and one server; return the events."""
     Module.script, Module.events = staticmethod(script), []
@@ -61,7 +61,7 @@
     async def start() -> None:
         loop = asyncio.get_running_loop()
         engine = Engine(SETTINGS, 1, loop)
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             servers = Servers(engine, SETTINGS, 15_000_000, 8, loop, Resp2(), Budget(1 << 20))
             engine.backend = servers
             servers.update(at(peer.port), True)
@@ -81,7 +81,7 @@
 
 
 def test_a_served_request_goes_there_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1))
         data = await peer.answer(OK)
@@ -106,7 +106,7 @@
             raise ZeroDivisionError("boom")
         yield from send_it(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1) + call(2))
         assert await reader.readline() == b"-BUSY\r\n"
@@ -126,7 +126,7 @@
         if isinstance(event, api.Request):
             yield api.Probe("s-1")
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         ends[1].write(call(1))
         assert await ends[0].readline() == b"-BUSY\r\n"
 
@@ -148,7 +148,7 @@
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         ends[1].write(call(1, b"c=lookup,t=basic,d=40"))
         assert await ends[0].readline() == b"-BUSY\r\n"
 
@@ -161,7 +161,7 @@
         if isinstance(event, api.Request):
             yield from (api.Refuse(event.id, 5_000), api.Fail(event.id), api.Refuse(event.id))
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         ends[1].write(call(1) + resp(b"PING"))
         assert await ends[0].readline() == b"-BUSY 5\r\n"
         assert await ends[0].readline() == b"+PONG\r\n"
@@ -177,11 +177,11 @@
             done.set()
         yield from send_it(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         stub = typing.cast(gateway.Call, Gone())
         engine.gone(engine.submit(stub))  # before the module's turn
         await done.wait()
-        assert peer.came.empty()
+        assert peer.received.empty()
 
     events = play(monkeypatch, script, scenario)
     moot = api.Outcome(1, 0, "s-1", api.Result.NOT_SENT, 0, True)
@@ -196,7 +196,7 @@
         if isinstance(event, api.Request):
             yield from [api.Send(event.id, "s-1", LONG)] * (1 + (how == "served"))
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         up = asyncio.Event()
         connect = Servers._connect
 
@@ -218,7 +218,7 @@
             await asyncio.sleep(0.001)
         up.set()
         await asyncio.sleep(0.02)  # a connection would come up, and be written on
-        assert peer.came.empty()
+        assert peer.received.empty()
 
     events = play(monkeypatch, script, scenario)
     results = [(event.attempt, event.result) for event in events if isinstance(event, api.Outcome)]
@@ -243,7 +243,7 @@
         elif isinstance(event, api.Outcome) and event.attempt < 3 * most:
             yield api.Send(event.request, "s-1", LONG)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         engine.backend.update(at(peer.port, api.State.DRAINING), False)  # type: ignore[attr-defined]
         withheld = Servers.send
 
@@ -271,7 +271,7 @@
 
     gone = asyncio.Event()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         engine.watch = Watching()
         ends[1].write(call(1))
         await asyncio.sleep(0.02)
@@ -293,7 +293,7 @@
             told.set()
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         engine.submit(typing.cast(gateway.Call, Gone()))
         engine.news(news)
         await told.wait()
@@ -318,11 +318,11 @@
                 yield api.Fail(1)
                 done.set()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         ends[1].write(call(1))
-        assert (await peer.hear())[1] != b""
+        assert (await peer.receive())[1] != b""
         assert await ends[0].readline() == b"-ERR failed\r\n"
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
         await done.wait()
 
     events = play(monkeypatch, script, scenario)
@@ -354,11 +354,11 @@
         if isinstance(event, api.Request) and event.id == 1:
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1))
         assert await reader.readline() == b"-BUSY\r\n"
-        server, _ = await peer.hear()
+        server, _ = await peer.receive()
         writer.write(call(1))
         assert await reader.readline() == b"-ERR the id is taken\r\n"
         server.write(OK)
@@ -372,7 +372,7 @@
 
 
 def test_a_patience_beyond_the_deadline_of_the_class_is_cut_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         ends[1].write(call(1, b"c=lookup,t=basic,d=999999999"))
         await peer.answer(OK)
         assert await ends[0].readexactly(11) == b"$5\r\nvalue\r\n"
@@ -387,13 +387,13 @@
 ) -> None:
     """The module does nothing by itself here: deadlines and time-outs are the engine's own."""
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1))
-        await peer.hear()
+        await peer.receive()
         engine.stop(10.0, 0.05)
         writer.write(call(2))
-        told = re.search(rb",d=(\d+),", (await peer.hear())[1])
+        told = re.search(rb",d=(\d+),", (await peer.receive())[1])
         assert told is not None
         assert int(told[1]) <= 50
         assert await reader.readline() == b"-BUSY\r\n"  # long before the 890 ms that it began with
@@ -417,10 +417,10 @@
         if isinstance(event, api.Outcome):
             yield api.Refuse(event.request)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1, b"c=lookup,t=basic,d=60"))
-        await peer.hear()
+        await peer.receive()
         time.sleep(0.1)
         assert await reader.readline() == b"-BUSY\r\n"
 
@@ -436,7 +436,7 @@
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         reader, writer = ends
         writer.write(call(1, b"c=lookup,t=basic,d=3000"))
         while not engine.owed():
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -138,7 +138,7 @@
         return await self.answer(method == "HEAD")
 
 
-def young() -> int:
+def customer_with_new_window() -> int:
     """Return a customer whose window has just begun."""
     length, now = 30_000_000, time.time_ns() // 1_000
     return next(n for n in itertools.count(77) if (now + n * 7919 % length) % length < 2_000_000)
@@ -151,13 +151,13 @@
     rate: float = 2.0,
     burst: float = 100.0,
     keys: dict[str, str] | None = None,
-    told: dict[str, Any] | None = None,
+    document: dict[str, Any] | None = None,
     link: Any = Resp2Link,
     takeover: bool = False,
 ) -> AsyncIterator[Deployment]:
     """Run gateways with an HTTP front. Customers have the API keys k0, k1, ...; `keys` adds more."""
     api, keys_file = folder / "api.json", folder / "keys.json"
-    api.write_text(json.dumps(told or description()))
+    api.write_text(json.dumps(document or description()))
     customers_by_key = {f"k{n}": f"{7 + n:016x}" for n in range(8)} | (keys or {})
     hashes = {
         hashlib.sha256(key.encode()).hexdigest(): {"customer": c} for key, c in customers_by_key.items()
@@ -191,7 +191,7 @@
             await gateway.process.wait()
 
 
-def came(deployment: Deployment) -> int:
+def requests_at_boxes(deployment: Deployment) -> int:
     return sum(len(box.came) for box in deployment.boxes)
 
 
@@ -275,7 +275,7 @@
             null = await client.ask("POST", "/v1/ports", b'{"from": "x", "count": null}')
             assert null.status == 200
             assert (await client.ask("GET", "/v1/numbers/" + "9" * 25)).status == 200  # an integer as well
-            assert came(deployment) == 3
+            assert requests_at_boxes(deployment) == 3
 
     run(scenario)
 
@@ -307,10 +307,10 @@
             ):
                 assert await status("/v1/whose", Authorization=bad) == 401
             assert await status("/v1/whose", Authorization=token(plan="none")) == 403
-            assert came(deployment) == 0 and not customers(deployment)
+            assert requests_at_boxes(deployment) == 0 and not customers(deployment)
             assert await status("/v1/whose", Authorization=token()) == 200
             assert await status("/v1/whose", Authorization=token(plan="basic")) == 200
-            assert came(deployment) == 2
+            assert requests_at_boxes(deployment) == 2
 
     run(scenario)
 
@@ -376,13 +376,13 @@
     runner, deployment = shared
 
     async def scenario() -> None:
-        before = came(deployment)
+        before = requests_at_boxes(deployment)
         client = await Client.to(deployment.gateways[0])
         client.writer.write(data)
         answer = await client.answer()
         assert answer.status == status
         client.writer.close()
-        assert came(deployment) == before
+        assert requests_at_boxes(deployment) == before
 
     runner.run(asyncio.wait_for(scenario(), 20))
 
@@ -411,7 +411,7 @@
                 requests = [spoilt(rng, b"k%d" % rng.randrange(8)) for _ in range(50)]
                 for counts in await asyncio.gather(*[play(host_and_port, pieces) for pieces in requests]):
                     found += counts
-            assert found["200"] == came(deployment)
+            assert found["200"] == requests_at_boxes(deployment)
             assert found["200"] > 100 and found["400"] > 100
             assert found["nothing read"] == 0
             assert (await told(deployment.gateways[0]))["state"] == "ready"
@@ -454,7 +454,7 @@
             disconnecting.writer.transport.abort()
             while gateway.place.read()["connections"] > 20:
                 await asyncio.sleep(0.05)
-            assert came(deployment) == 0
+            assert requests_at_boxes(deployment) == 0
 
     run(scenario)
 
@@ -468,7 +468,7 @@
             body = b'{"from": "x"}'
             answer = await client.ask("POST", "/v1/ports", body, Prefer="wait=1")
             assert answer.status in (503, 504)
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
             assert deployment.ledger.report()["ran_twice"] == 0
 
     run(scenario)
@@ -476,7 +476,7 @@
 
 def test_a_quota_is_used_up_exactly_by_both_kinds_of_client(tmp_path: Path) -> None:
     async def scenario() -> None:
-        number = young()
+        number = customer_with_new_window()
         keys = {"mixed": f"{number:016x}"}
         async with web(tmp_path, gateways=3, rate=2.0, burst=60.0, keys=keys) as deployment:
             webs = [await Client.to(gateway) for gateway in deployment.gateways]
@@ -498,7 +498,9 @@
             refilled = 2.0 * (time.monotonic() - began)
             total = served["web"] + served["resp"]
             held = sum(units for units in customers(deployment).values())
-            assert total == held == came(deployment)  # units charged and counted, and requests forwarded
+            assert (
+                total == held == requests_at_boxes(deployment)
+            )  # units charged and counted, and requests forwarded
             assert 60 <= total <= 60 + refilled + 1
             assert min(served.values()) > 10
 
@@ -576,10 +578,10 @@
             assert again.headers["idempotency-replayed"] == "true"
             theirs = await other.ask("POST", "/v1/keyed", key="k1", Idempotency_Key="a")
             assert "idempotency-replayed" not in theirs.headers  # another customer's key is another key
-            assert came(deployment) == 2
+            assert requests_at_boxes(deployment) == 2
             deployment.box_faults.on(Fault(Kind.SLOW, delay=0.15))
             one.send("POST", "/v1/keyed", Idempotency_Key="b")
-            while came(deployment) < 3:
+            while requests_at_boxes(deployment) < 3:
                 await asyncio.sleep(0.005)
             assert (await other.ask("POST", "/v1/keyed", Idempotency_Key="b")).status == 409
             assert (await one.answer()).status == 200
@@ -633,7 +635,7 @@
             assert (await client.answer()).status == 200
             lines = ["Content-Type: application/json", f"Content-Length: {len(body)}"]
             client.writer.write(raw(*lines).replace(b"GET /v1/numbers/1", b"POST /v1/ports") + body[:5])
-            before = came(deployment)
+            before = requests_at_boxes(deployment)
             deployment.do("drain", (0,))
             await told(gateway, state="draining")
             await asyncio.sleep(PARTIAL_READ_TIMEOUT + 0.1)  # after this, new requests are refused
@@ -642,7 +644,7 @@
             assert (answer.status, answer.headers["connection"]) == (429, "close")
             assert await client.reader.read() == b""
             assert await gateway.process.wait() == 0
-            assert (came(deployment), gateway.place.read()["left"]) == (before, 0)
+            assert (requests_at_boxes(deployment), gateway.place.read()["left"]) == (before, 0)
             assert "read on a half-read connection" in log_of(deployment)
 
     run(scenario)
--- a/tests/test_http_boxes.py
+++ b/tests/test_http_boxes.py
@@ -29,9 +29,17 @@
 from mothgap.interface import Limits, Member, Result, State
 from tests.fleet import Caller, run, told
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, Heard, Peer
+from tests.net import LOCAL, EngineStandIn, ScriptedServer
 from tests.net import run as run_short
-from tests.test_http import OK, Client, came, customers, description, web, young
+from tests.test_http import (
+    OK,
+    Client,
+    requests_at_boxes,
+    customers,
+    description,
+    web,
+    customer_with_new_window,
+)
 
 GET = Exchange("GET", "/v1/numbers/1", (("Accept", "*/*"),), turned_away=frozenset({503}))
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
@@ -41,7 +49,7 @@
     """The servers' side and who it tells, as for RESP2."""
 
     def __init__(self, port: int) -> None:
-        self.heard, self.numbers = Heard(), itertools.count(1)
+        self.heard, self.numbers = EngineStandIn(), itertools.count(1)
         loop = asyncio.get_running_loop()
         self.servers = Servers(cast(Engine, self.heard), FAST, 60_000_000, 8, loop, Http(), Budget(1 << 20))
         self.servers.update([(Member("s-1", State.READY), (LOCAL, port))], True)
@@ -93,10 +101,10 @@
 )
 def test_each_answer_has_its_outcome(reply: bytes, result: Result, value: bytes, kept: bool) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             attempt = bench.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             writer.write(reply)
             assert (await bench.heard.ended.get())[:3] == (attempt.request, result, value)
             assert bench.idle() == kept
@@ -107,10 +115,10 @@
 @pytest.mark.parametrize("cut", [1, 20, len(FINE) - 1])
 def test_an_answer_that_breaks_off_is_a_reset(cut: int) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             writer.write(FINE[:cut])
             writer.close()
             assert (await bench.heard.ended.get())[1] is Result.RESET
@@ -122,10 +130,10 @@
 def test_a_break_before_the_last_byte_left_proves_nothing_of_a_body(size: int, result: Result) -> None:
     # A box may begin with a head, so half a body may have run; half a head has not.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send(Exchange("POST", "/x" if size else "/" + "x" * 40_000_000, (), b"x" * size))
-            writer, _ = await peer.came.get()
+            writer, _ = await peer.received.get()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.transport.abort()
             assert (await bench.heard.ended.get())[1] is result
@@ -135,10 +143,10 @@
 
 def test_what_a_box_says_of_its_load_and_between_hops_stays_here() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             between = ("Lynxreel-Load: inflight=7,queue=2", "Connection: X-Hop", "X-Hop: 1")
             ends = ("Set-Cookie: c", "ETag: a", "Set-Cookie: b")
             writer.write(head("200 OK", LENGTH, *between, *ends) + b"value")
@@ -201,7 +209,7 @@
 
 def test_a_box_is_sent_the_request_written_anew_and_its_answer_comes_back(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(path="/inner"), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(path="/inner"), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             trace = f"00-{'a' * 32}-{'b' * 16}-01"
             answer = await client.ask(
@@ -235,14 +243,14 @@
 @pytest.mark.parametrize("kind", [Kind.SILENT, Kind.RESET, Kind.SPOILT, Kind.HALF, Kind.REFUSE, Kind.EARLY])
 def test_a_post_that_ends_badly_at_a_box_by_http_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             deployment.box_faults.on(Fault(kind))
             body = b'{"from": "' + b"x" * 60_000 + b'"}'
             answer = await client.ask("POST", "/v1/ports", body, Prefer="wait=1")
             # A box that answers before it has read the body resets the connection: its word may be lost.
             assert answer.status in ((413, 503) if kind is Kind.EARLY else (503, 504))
-            assert came(deployment) == (0 if kind is Kind.EARLY else 1)
+            assert requests_at_boxes(deployment) == (0 if kind is Kind.EARLY else 1)
             heads = sum(box.listener.taken for box in deployment.boxes)
             assert heads == 1  # no second box was asked
 
@@ -251,7 +259,7 @@
 
 def test_what_the_operator_says_was_turned_away_goes_to_another_box(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(turned_away=[503]), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(turned_away=[503]), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             for box in deployment.boxes[:4]:
                 deployment.box_faults.on(Fault(Kind.REFUSE, target=box.name))
@@ -266,7 +274,7 @@
 
 def test_a_drained_box_by_http_gets_nothing_new(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             for _ in range(30):
                 assert (await client.ask("GET", "/v1/numbers/1")).status == 201
@@ -290,9 +298,9 @@
 
 def test_both_kinds_of_client_drain_one_quota_at_boxes_by_http(tmp_path: Path) -> None:
     async def scenario() -> None:
-        number = young()
+        number = customer_with_new_window()
         keys = {"mixed": f"{number:016x}"}
-        async with web(tmp_path, 2, burst=30.0, keys=keys, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, 2, burst=30.0, keys=keys, document=by_http(), link=HttpLink) as deployment:
             webs = [await Client.to(gateway) for gateway in deployment.gateways]
             callers = [await Caller.to(gateway) for gateway in deployment.gateways]
             served = Counter[str]()
@@ -305,7 +313,7 @@
                     callers[turn // 2 % 2].command("CALL.GET", f"{number:016x}", f"m{turn}", terms)
                     served["resp"] += (await callers[turn // 2 % 2].answer()).startswith(b"done")
             total = served.total()
-            assert total == sum(customers(deployment).values()) == came(deployment)
+            assert total == sum(customers(deployment).values()) == requests_at_boxes(deployment)
             assert 30 <= total < 60 and min(served.values()) > 5
             calls = [request for request in seen(deployment) if request.target == "/lynxreel/call"]
             assert len(calls) == served["resp"] and calls[0].headers["lynxreel-command"] == "CALL.GET"
@@ -315,7 +323,7 @@
 
 def test_a_reload_does_not_change_what_boxes_speak(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             (tmp_path / "api.json").write_text(json.dumps(description()))
             deployment.do("reload", (0,))
             problems = (await told(deployment.gateways[0], reloads=1))["reload_problems"]
--- a/tests/test_keys_and_hold_ups.py
+++ b/tests/test_keys_and_hold_ups.py
@@ -11,7 +11,7 @@
 from lynxreel.local.deployment import Gateway
 from lynxreel.standins.faults import Fault, Kind
 from tests.fleet import run
-from tests.test_http import Client, came, web
+from tests.test_http import Client, requests_at_boxes, web
 from tests.test_work_by_http import KEY, KEYED, killed_under, told, with_bodies
 from tests.test_work_in_hand import until
 
@@ -36,7 +36,7 @@
 async def hold_up_the_others(folder: Path, seed: int, together: bool) -> None:
     """The owner of a keyed request is killed; the others stand still, each once, while it is repeated."""
     chance = random.Random(f"{seed} {together}")
-    async with web(folder, 3, takeover=True, told=with_bodies()) as deployment:
+    async with web(folder, 3, takeover=True, document=with_bodies()) as deployment:
         others = await killed_under(deployment, KEYED, **KEY)
         stalls = [
             asyncio.create_task(held_up(one, chance.uniform(0, 0.05), chance.choice([0.05, 0.1, HOLD_UP])))
@@ -49,7 +49,7 @@
         assert len({(status, body) for status, body, _ in answers}) == 1, answers
         assert answers[0][0] == 200
         await asyncio.sleep(HOLD_UP)
-        assert came(deployment) == 2  # once by each owner
+        assert requests_at_boxes(deployment) == 2  # once by each owner
 
 
 @pytest.mark.parametrize("together", [False, True], ids=["in turn", "together"])
@@ -66,14 +66,14 @@
     """Guards against a second run of what takes longer than instances wait for each other's word."""
 
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             deployment.box_faults.on(Fault(Kind.SLOW, delay=0.4))
             clients = [await Client.to(gateway) for gateway in deployment.gateways]
             clients[0].send(*KEYED, **KEY)
-            await until(lambda: came(deployment) == 1)
+            await until(lambda: requests_at_boxes(deployment) == 1)
             answers = await repeated(clients[1:], together)
             assert {status for status, _, _ in answers} == {200}
             assert told(await clients[0].answer())[:2] == answers[0][:2]
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
 
     run(scenario)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 from mothgap.lending import Ask, read, write
 from tests.gateways import Gateways
 from tests.helpers import CUSTOMER, SECOND, SETTINGS
-from tests.net import LOCAL, NAMES, Peer, run
+from tests.net import LOCAL, NAMES, ScriptedServer, run
 from tests.test_lending import ASKED, LENT
 from tests.test_process import NAMED, config
 
@@ -150,7 +150,7 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, peers=False))
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             for port, moment in ((peer.port, 1e6), (1, 0.05)):
                 monkeypatch.setattr(module_of_node, "FIRST_NEWS", moment)
                 known = (Members(ListKind.CACHED, 1, ()), list[tuple[Member, Address]]())
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Member, Result, State
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, TERMS, Heard, Peer, call, drain_times, run
+from tests.net import LOCAL, TERMS, EngineStandIn, ScriptedServer, call, drain_times, run
 
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 LARGE = MOST_STREAM
@@ -65,7 +65,7 @@
     assert budget.allowance("a") > 0
 
 
-class Bridge(Heard):
+class Bridge(EngineStandIn):
     """In the engine's place: each call is one attempt, and what that brings is the answer."""
 
     servers: Servers
@@ -92,7 +92,7 @@
 class Way:
     """A client's listener, a server that the test plays, and what lies between."""
 
-    def __init__(self, peer: Peer, budget: int) -> None:
+    def __init__(self, peer: ScriptedServer, budget: int) -> None:
         loop = asyncio.get_running_loop()
         self.peer, self.budget, self.bridge = peer, Budget(budget), Bridge()
         engine = cast(Engine, self.bridge)
@@ -108,7 +108,7 @@
 
 def play(scenario: Callable[[Way], Awaitable[None]], budget: int = 1 << 20) -> None:
     async def start() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             way = Way(peer, budget)
             await way.clients.listen(LOCAL, 0)
             await scenario(way)
@@ -143,7 +143,7 @@
         chance, sent = random.Random(size), value(size)
         for number in range(2):
             writer.write(call(number))
-            server, _ = await way.peer.hear()
+            server, _ = await way.peer.receive()
             answer = head(size) + sent + TAIL
             while answer:
                 cut = chance.choice([1, 2, 3, 1_000, 100_000, 300_000])
@@ -164,7 +164,7 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:10])
         assert await reader.readexactly(19) == b"$100000\r\n" + sent[:10]
@@ -186,7 +186,7 @@
         sent = value(LARGE)
         for number, (_, writer) in enumerate(slow):
             writer.write(call(number))
-            server, _ = await way.peer.hear()
+            server, _ = await way.peer.receive()
             server.write(head(LARGE) + sent + TAIL)
         await settled(lambda: len(way.budget) == 12)
         await asyncio.sleep(0.3)
@@ -214,9 +214,9 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         writer.write(call(2))
-        await way.peer.hear()
+        await way.peer.receive()
         server.write(head(size) + rest)
         if len(rest) < size:
             await server.drain()
@@ -240,7 +240,7 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         server.write(head(size) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
         assert (await way.bridge.ended.get())[1] is Result.ERROR
@@ -252,11 +252,11 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         server.write(head(LARGE) + b"x" * 200_000)
         await reader.readexactly(1_000)
         writer.transport.abort()
-        assert await way.peer.hear() == (server, b"")
+        assert await way.peer.receive() == (server, b"")
         await settled(lambda: len(way.budget) == 0)
         assert way.servers.open == 0
 
@@ -268,9 +268,9 @@
         way.bridge.over = lambda attempt: True
         _, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         server.write(head(LARGE) + b"x" * 200_000)
-        assert await way.peer.hear() == (server, b"")
+        assert await way.peer.receive() == (server, b"")
         assert (len(way.budget), way.servers.open) == (0, 0)
 
     play(scenario)
@@ -280,11 +280,11 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        first, _ = await way.peer.hear()
+        first, _ = await way.peer.receive()
         writer.write(call(2))
-        second, _ = await way.peer.hear()
+        second, _ = await way.peer.receive()
         writer.write(call(3))
-        third, _ = await way.peer.hear()
+        third, _ = await way.peer.receive()
         sent = value(1_000_000)
         second.write(head(len(sent)) + sent + TAIL)
         third.write(b"*3\r\n$1\r\nz" + TAIL)
@@ -305,14 +305,14 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         for _ in range(10):  # slow, and goes on
             server.write(head(100_000) + b"x" if not way.clients.streams else b"x")
             await asyncio.sleep(0.04)
         assert len(way.clients.streams) == 1
         with pytest.raises(asyncio.IncompleteReadError):
             await reader.readexactly(100_000)
-        assert await way.peer.hear(b"none") == (server, b"")
+        assert await way.peer.receive(b"none") == (server, b"")
 
     play(scenario)
 
@@ -321,7 +321,7 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:70_000])
         await settled(lambda: bool(way.clients.streams))
@@ -340,7 +340,7 @@
     async def scenario(way: Way) -> None:
         reader, writer = await way.client()
         writer.write(call(1))
-        server, _ = await way.peer.hear()
+        server, _ = await way.peer.receive()
         server.write(head(100_000) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -15,7 +15,7 @@
 from lynxreel.relay.budget import Budget
 from mothgap.interface import Limits, Member, Result, State
 from tests.helpers import ONCE, REPEATABLE, SETTINGS
-from tests.net import LOCAL, Heard, Peer, resp, run
+from tests.net import LOCAL, EngineStandIn, ScriptedServer, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
 LONG = 10_000_000  # microseconds
@@ -51,7 +51,7 @@
     """The servers' side and who it tells."""
 
     def __init__(self, port: int, most: int = 8) -> None:
-        self.heard, self.next = Heard(), 0
+        self.heard, self.next = EngineStandIn(), 0
         loop = asyncio.get_running_loop()
         engine, budget = cast(Engine, self.heard), Budget(1 << 20)
         self.servers = Servers(engine, FAST, 60_000_000, most, loop, Resp2(), budget)
@@ -100,7 +100,7 @@
 )
 def test_each_answer_has_its_outcome(reply: bytes, told: tuple[Result, bytes, tuple[float, ...]]) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(reply)
@@ -123,25 +123,25 @@
 )
 def test_a_connection_that_says_too_much_is_closed(reply: bytes) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(reply)
             await bench.end()
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_an_idle_connection_that_says_something_is_closed() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(OK)
             await bench.end()
             peer.writers[0].write(b"+hello\r\n")
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
@@ -159,10 +159,10 @@
 
 def test_a_break_after_the_last_byte_is_a_reset() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            (await peer.hear())[0].transport.abort()
+            (await peer.receive())[0].transport.abort()
             assert await bench.end() == (1, Result.RESET)
 
     run(scenario)
@@ -184,29 +184,29 @@
 
 def test_a_time_out_closes_the_connection() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(OK)  # the connection is up, so that the time-out can't meet the connect
             await bench.end()
             bench.send(timeout=20_000)
-            assert (await peer.hear())[1] != b""
+            assert (await peer.receive())[1] != b""
             assert await bench.end() == (2, Result.TIMEOUT)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_an_attempt_given_up_while_connecting_writes_nothing_later() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.servers.cancel(bench.send(size=11))
             assert await bench.end() == (1, Result.CONNECT_FAILED)
             cut = bench.send(timeout=0, size=12)
             assert await bench.end() == (cut.request, Result.CONNECT_FAILED)
             bench.send(size=13)
-            while (heard := (await peer.hear())[1]) == b"":
+            while (heard := (await peer.receive())[1]) == b"":
                 pass
             assert heard == resp(b"CALL.GET", b"x" * 13)
 
@@ -230,14 +230,14 @@
     how: str,
 ) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send(size=11)
             leave(bench, peer.port, how)
             assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
             bench.servers.update(at(peer.port), False)  # taken back
             bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
+            while (heard := (await peer.receive())[1]) == b"":
                 pass
             assert heard == resp(b"CALL.GET", b"x" * 12)
 
@@ -248,12 +248,12 @@
 def test_the_gate_before_the_first_byte_holds_by_itself(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # On a connection that was kept, and on one that comes up late.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             for kept in (True, False):
                 bench = Bench(peer.port)
                 if kept:
                     bench.send()
-                    writer, _ = await peer.hear()
+                    writer, _ = await peer.receive()
                     writer.write(OK)
                     assert await bench.end() == (1, Result.OK)
                 else:
@@ -264,7 +264,7 @@
                     bench.send()
                 assert (await bench.end())[1] is Result.NOT_SENT
                 bench.servers.close()
-                assert (await peer.hear())[1] == b""
+                assert (await peer.receive())[1] == b""
 
     monkeypatch.setattr(Servers, "_turn_off", lambda *_: None)
     run(scenario)
@@ -272,12 +272,12 @@
 
 def test_a_withdrawn_attempt_goes_out_only_if_it_has_begun() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.servers.withdraw(bench.send())
             assert bench.heard.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
             begun = bench.send(size=12)
-            while (heard := await peer.hear())[1] == b"":
+            while (heard := await peer.receive())[1] == b"":
                 pass
             assert heard[1] == resp(b"CALL.GET", b"x" * 12)
             bench.servers.withdraw(begun)
@@ -289,7 +289,7 @@
 
 def test_connections_opened_ahead_carry_what_comes_next_within_the_limit_and_have_no_price() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             for price, opened in ((0.1, 0), (0.0, 3)):
                 bench = Bench(peer.port, most=3)
                 bench.servers.adopt(replace(FAST, handshake_price=price), 60_000_000, 3)
@@ -309,7 +309,7 @@
 
 def test_no_connection_is_opened_to_a_server_that_leaves() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.servers.update(at(peer.port, State.DRAINING), False)
             bench.send()
@@ -321,38 +321,38 @@
 
 def test_what_a_draining_server_works_on_may_finish_and_idle_connections_close() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             bench.servers.update([], True)  # a whole list without it: it is gone
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_a_connection_carries_one_attempt_at_a_time_and_is_used_again() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             bench.send()
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             assert first is not second
             second.write(OK)
             assert await bench.end() == (2, Result.OK)
             bench.send()
-            assert (await peer.hear())[0] is second
+            assert (await peer.receive())[0] is second
 
     run(scenario)
 
 
 def test_an_idle_connection_is_dropped_before_the_server_does() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(OK)
@@ -361,7 +361,7 @@
             for passed, kept in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
                 bench.servers.drop_idle(now + passed)
                 bench.send()
-                writer, data = await peer.hear()
+                writer, data = await peer.receive()
                 assert (data != b"") is kept
                 if kept:
                     writer.write(OK)
@@ -372,23 +372,23 @@
 
 def test_a_restarted_server_gets_new_connections() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(OK)
             await bench.end()
             bench.servers.update(at(peer.port, started=7), False)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_connections_are_bounded() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port, most=1)
             bench.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             bench.send()
             assert await bench.end() == (2, Result.NOT_SENT)
             writer.write(OK)
@@ -402,25 +402,25 @@
     # Guards against machines that vanished: their open connections say nothing, and end as resets later.
     # One time-out is more often mere slowness, and a new connection costs the server work.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             for _ in range(3):
                 bench.send()
-            heard = [await peer.hear() for _ in range(3)]
+            heard = [await peer.receive() for _ in range(3)]
             for writer, _ in heard:
                 writer.write(OK)
             for _ in range(3):
                 await bench.end()
             for _ in range(silent):
                 attempt = bench.send()
-                assert (await peer.hear())[1] != b""
+                assert (await peer.receive())[1] != b""
                 bench.servers.cancel(attempt)
                 assert await bench.end() == (attempt.request, Result.CANCELLED)
-                assert (await peer.hear())[1] == b""
+                assert (await peer.receive())[1] == b""
             if silent == 2:
-                assert (await peer.hear())[1] == b""  # the third, which was idle
+                assert (await peer.receive())[1] == b""  # the third, which was idle
             bench.send()
-            writer, data = await peer.hear()
+            writer, data = await peer.receive()
             assert data != b""
             assert (writer in [w for w, _ in heard]) is (silent == 1)
 
@@ -429,19 +429,19 @@
 
 def test_after_a_slow_answer_of_a_server_that_answers_others_they_are_kept() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             slow = bench.send()
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             first.write(OK)
             assert await bench.end() == (1, Result.OK)
             bench.servers.cancel(slow)
             assert await bench.end() == (2, Result.CANCELLED)
-            assert (await peer.hear()) == (second, b"")
+            assert (await peer.receive()) == (second, b"")
             bench.send()
-            assert (await peer.hear())[0] is first
+            assert (await peer.receive())[0] is first
 
     run(scenario)
 
@@ -450,7 +450,7 @@
     # Guards against a write that the transport drops because the other end's close is still to be told: the
     # request never left, but would count as a reset, and an unsafe one could not be tried again.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
             await peer.answer(OK)
@@ -458,7 +458,7 @@
             for transport in bench.transports():
                 transport.close()
             bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
+            while (heard := (await peer.receive())[1]) == b"":
                 pass
             peer.writers[-1].write(OK)
             assert heard == resp(b"CALL.GET", b"x" * 12)
@@ -470,17 +470,17 @@
 def test_what_comes_behind_a_good_answer_is_not_served_to_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the value: a second copy may come in a later read, when the connection carries another attempt.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             first.write(OK)
             await bench.end()
             bench.send()  # the first connection rests
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             assert second is not first
             first.write(OK)
-            assert (await peer.hear()) == (first, b"")
+            assert (await peer.receive()) == (first, b"")
             second.write(OK.replace(b"value", b"other"))
             assert (await bench.heard.ended.get())[2] == b"other"
 
@@ -512,14 +512,14 @@
 
 def test_a_connection_to_where_a_server_was_before_its_restart_is_not_used() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             bench.servers.update(at(peer.port, started=7), False)
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
-            assert await peer.hear() == (writer, b"")
+            assert await peer.receive() == (writer, b"")
 
     run(scenario)
 
@@ -527,10 +527,10 @@
 def test_a_server_that_is_gone_is_forgotten_when_nothing_is_out() -> None:
     # Guards memory: servers are replaced all day under new names.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             bench.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             bench.servers.update(at(peer.port, State.GONE), False)
             bench.servers._sweep()
             assert set(bench.servers._pools) == {"s-1"}
@@ -587,14 +587,14 @@
 
 def test_an_unsafe_request_takes_a_new_connection_where_kept_ones_were_reset() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             bench = Bench(peer.port)
             for _ in range(3):  # each connection is reset at its second request
                 bench.send()
                 writer = await heard(peer, OK)
                 await bench.end()
                 bench.send()
-                while not (again := await peer.hear())[1]:
+                while not (again := await peer.receive())[1]:
                     pass
                 assert again[0] is writer
                 writer.transport.abort()
@@ -609,9 +609,9 @@
     run(scenario)
 
 
-async def heard(peer: Peer, answer: bytes) -> asyncio.StreamWriter:
+async def heard(peer: ScriptedServer, answer: bytes) -> asyncio.StreamWriter:
     """Answer the next command."""
-    while not (came := await peer.hear())[1]:
+    while not (came := await peer.receive())[1]:
         pass
     came[0].write(answer)
     return came[0]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
-class Pings:
+class PingClient:
     """A client that connects, pings and closes, again and again, and records failures."""
 
     def __init__(self, port: int) -> None:
@@ -53,7 +53,7 @@
         self._thread.join()
 
 
-def running(process: Ended, operator: int) -> None:
+def wait_until_ready(process: Ended, operator: int) -> None:
     """Wait until the process reports that it is ready."""
     while True:
         assert process.poll() is None, process.communicate()
@@ -79,11 +79,11 @@
             process = start(
                 tmp_path, json.dumps({**base_config, "operator": f"{GATEWAY}:{operator}"}), platform_listener
             )
-            running(process, operator)
+            wait_until_ready(process, operator)
             return process, operator
 
         old, operator = run()
-        pings = Pings(listen)
+        pings = PingClient(listen)
         try:
             for _ in range(3):
                 pings.more(20)
--- a/tests/test_without_counter.py
+++ b/tests/test_without_counter.py
@@ -10,7 +10,7 @@
 from mothgap import interface as api
 from mothgap.interface import Limits, ListKind, Plan, Result, Send
 from tests.helpers import CUSTOMER, SECOND, SETTINGS, Driver, kinds, line
-from tests.net import Peer, call
+from tests.net import ScriptedServer, call
 from tests.test_engine import Ends, play
 
 ALONE = replace(SETTINGS, counter=None, limits=Limits(max_attempts=2))
@@ -70,7 +70,7 @@
             yield api.Count(5, -1.0, SECOND)
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Ends) -> None:
         engine.counter = None
         reader, writer = ends
         writer.write(call(1))
--- a/tests/test_work_by_http.py
+++ b/tests/test_work_by_http.py
@@ -12,7 +12,7 @@
 from lynxreel.standins.faults import Fault, Kind
 from lynxreel.standins.http_box import HttpLink
 from tests.fleet import Caller, run
-from tests.test_http import Answer, Client, came, description, web
+from tests.test_http import Answer, Client, requests_at_boxes, description, web
 from tests.test_http_boxes import by_http
 from tests.test_work_in_hand import until
 
@@ -43,7 +43,7 @@
     deployment.box_faults.on(Fault(Kind.SLOW, delay=0.4))
     owner, *others = [await Client.to(gateway) for gateway in deployment.gateways]
     owner.send(*asked, **headers)
-    await until(lambda: came(deployment) == 1)
+    await until(lambda: requests_at_boxes(deployment) == 1)
     await asyncio.sleep(0.02)
     deployment.gateways[0].process.kill()
     assert await owner.reader.read() == b""
@@ -60,7 +60,7 @@
             assert {answer.status for answer in answers} == {201 if spoken == "http" else 200}
             assert answers[0].body == answers[1].body and b"r1" in answers[0].body
             assert answers[0].headers.get("x-box") == answers[1].headers.get("x-box")
-            assert came(deployment) == 2  # once by each owner
+            assert requests_at_boxes(deployment) == 2  # once by each owner
 
     run(scenario)
 
@@ -74,7 +74,7 @@
                 answer = await other.ask(*POST, **BACK)
                 assert (answer.status, answer.problem["title"]) == (500, "Outcome unknown")
             await asyncio.sleep(0.5)
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
 
     run(scenario)
 
@@ -93,7 +93,7 @@
                 other.send(*POST, **BACK)
             answers = [await other.answer() for other in others]
             assert {answer.status for answer in answers} == {201 if spoken == "http" else 200}
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
 
     run(scenario)
 
@@ -106,12 +106,12 @@
     """By the key alone, as ordinary clients repeat; and another request under it is turned away."""
 
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             first, second = await killed_under(deployment, KEYED, **KEY)
             answer = await first.ask(*KEYED, **KEY)
             assert (answer.status, answer.headers[REPLAYED]) == (200, "true")
             assert told(await second.ask(*KEYED, **KEY)) == told(answer)
-            assert came(deployment) == 2  # once by each owner, under one id
+            assert requests_at_boxes(deployment) == 2  # once by each owner, under one id
             assert (await second.ask(*OTHER, **KEY)).status == 422
 
     run(scenario)
@@ -119,35 +119,35 @@
 
 def test_a_key_is_run_once_over_instances_that_live(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             clients = [await Client.to(gateway) for gateway in deployment.gateways]
             answers = [told(await client.ask(*KEYED, **KEY)) for client in clients]
             status, body, _ = answers[0]
             assert answers == [(status, body, ""), *[(status, body, "true")] * 2]
             fresh = await Client.to(deployment.gateways[1])
             assert (await fresh.ask(*OTHER, **KEY)).status == 422  # by what this one has kept itself
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
             clients[1].send(*KEYED, key="k1", **KEY)  # the same key of another customer is another key
             assert told(await clients[1].answer())[2] == ""
-            assert came(deployment) == 2
+            assert requests_at_boxes(deployment) == 2
 
     run(scenario)
 
 
 def test_another_request_under_a_key_of_another_instance_is_turned_away(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             clients = [await Client.to(gateway) for gateway in deployment.gateways]
             assert (await clients[0].ask(*KEYED, **KEY)).status == 200
             assert [(await client.ask(*OTHER, **KEY)).status for client in clients] == [422] * 3
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
 
     run(scenario)
 
 
 def test_a_new_key_is_not_held_up_by_instances_that_say_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             client = await Client.to(deployment.gateways[0])
             assert (await client.ask(*GET)).status == 200
             for gateway in deployment.gateways[1:]:
@@ -155,7 +155,7 @@
             for number in range(6):
                 answer = await client.ask(*KEYED, Idempotency_Key=f"n{number}", Prefer="wait=1")
                 assert answer.status == 200
-            assert came(deployment) == 7
+            assert requests_at_boxes(deployment) == 7
 
     run(scenario)
 
@@ -176,7 +176,7 @@
         async with web(tmp_path) as deployment:
             client = await Client.to(deployment.gateways[0])
             assert (await client.ask(*POST, **BACK)).status == 400
-            assert came(deployment) == 0
+            assert requests_at_boxes(deployment) == 0
             assert (await client.ask(*POST, **NAMED)).status == 200  # and the name alone does no harm
 
     run(scenario)
@@ -191,7 +191,7 @@
         async with web(tmp_path, 2, takeover=True) as deployment:
             client = await Client.to(deployment.gateways[0])
             assert (await client.ask(*GET, **headers)).status == 400
-            assert came(deployment) == 0
+            assert requests_at_boxes(deployment) == 0
 
     run(scenario)
 
