--- a/lynxreel/fronts/http.py
+++ b/lynxreel/fronts/http.py
@@ -20,7 +20,7 @@
 
 import h11
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.forwarded import Network, forwarded_field
@@ -31,7 +31,7 @@
 from lynxreel.openapi.routes import BadPath, split
 from lynxreel.protocol import resp
 from lynxreel.protocol.address import Address
-from lynxreel.protocol.exchange import WAIT, Answer, Exchange, Fields, pack
+from lynxreel.protocol.exchange import WAIT_FIELD, Answer, Exchange, Fields, pack
 from lynxreel.relay.stream import Stream
 
 MAX_HEAD_BYTES = 16_384  # bytes of a request's head
@@ -75,7 +75,7 @@
 
     def create_front(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
         listener_factory: ListenerFactory,
@@ -128,7 +128,7 @@
             *head.fields, ("Forwarded", self.connection.forwarded_field(self.serving.proxies)),
             ("Lynxreel-Customer", f"{self.customer:016x}"), ("Lynxreel-Class", names[0]),
             ("Lynxreel-Plan", names[1]), ("Lynxreel-Units", f"{self.units:g}"),
-            (WAIT, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
+            (WAIT_FIELD, str(max(1, wait // 1_000))), ("Lynxreel-Request", self.id.decode()),
         ]  # fmt: skip
         fields += [("Idempotency-Key", self.id.decode())] if head.key else []
         fields += [("Content-Type", self.whole.kind)] if self.whole.body and self.whole.kind else []
@@ -287,7 +287,7 @@
         if self._call is not None:
             return ConnectionHistory.BUSY
         partly_read = self._buffer or self._h11 is not None
-        return ConnectionHistory.HALF_READ if partly_read else ConnectionHistory.RESTING
+        return ConnectionHistory.HALF_READ if partly_read else ConnectionHistory.IDLE
 
     def _read(self) -> None:
         while self._call is None and not self._input_closed and not self._answers_unread and self._buffer:
@@ -574,7 +574,7 @@
         self.front.connections.discard(self)
         call, self._call = self._call, None
         if call is not None and call.request and not call.idempotency_key:
-            self.front.engine.gone(call.request)
+            self.front.engine.client_disconnected(call.request)
 
 
 def _check_head(head: bytes) -> tuple[int, str] | None:
@@ -617,7 +617,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         serving: ServingConfig,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
--- a/lynxreel/fronts/resp2.py
+++ b/lynxreel/fronts/resp2.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, cast
 
-from lynxreel.engine.engine import Desk
+from lynxreel.engine.engine import RequestHandler
 from lynxreel.engine.shutdown_report import ConnectionHistory, ShutdownReport
 from lynxreel.fronts.draining import Draining, DrainTimes
 from lynxreel.fronts.lingering import LingeringClose, has_unread, peer_has_closed
@@ -219,7 +219,7 @@
             return ConnectionHistory.NEW
         if self.queue:
             return ConnectionHistory.BUSY
-        return ConnectionHistory.RESTING if self._reader.empty() else ConnectionHistory.HALF_READ
+        return ConnectionHistory.IDLE if self._reader.empty() else ConnectionHistory.HALF_READ
 
     def _read(self) -> None:
         """Take complete commands as long as there is room for more answers."""
@@ -371,7 +371,7 @@
         """
         self._stream, self._stream_written = stream, False
         if self.transport.is_closing():
-            stream.gone()
+            stream.release()
             return
         self.transport.set_write_buffer_limits(high=0)
         if self._pause_reasons & self.ANSWERS_UNREAD:  # replaced by the check for stalled streams
@@ -381,7 +381,7 @@
         self.transport.write(b"$%d\r\n" % stream.length)
         stream.attach(self)
 
-    def pass_on(self, data: bytes) -> int:
+    def write_piece(self, data: bytes) -> int:
         """Write a piece of the streamed value; return how many bytes are still buffered."""
         if self.transport.is_closing():
             return 0
@@ -400,14 +400,14 @@
     def _stream_sent(self) -> None:
         """The streamed value has been sent completely."""
         assert self._stream is not None
-        self._stream.gone()
+        self._stream.release()
         self._stream = None
         self._clients.streams.pop(self, None)
         self.transport.set_write_buffer_limits()
         self.queue.popleft()
         self.flush()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The streamed value can't be completed: closing in its middle tells the client so."""
         self.transport.abort()
 
@@ -415,7 +415,7 @@
     def bytes_sent(self) -> int:
         """Bytes of the streamed value that have been sent."""
         assert self._stream is not None
-        return self._stream.passed - self.transport.get_write_buffer_size()
+        return self._stream.forwarded - self.transport.get_write_buffer_size()
 
     def _pause_reading(self, reason: int) -> None:
         if not self._pause_reasons and not self.transport.is_closing():
@@ -517,7 +517,7 @@
             if self._stream_written:
                 self._stream_sent()
             else:
-                self._stream.drained(0)
+                self._stream.set_buffered(0)
             return
         self._clients.waiting_since.pop(self, None)
         self._resume_reading(self.ANSWERS_UNREAD)
@@ -532,9 +532,9 @@
         self._input_closed = True
         for call in self.queue:
             if call.request:
-                self._clients.engine.gone(call.request)
+                self._clients.engine.client_disconnected(call.request)
             elif isinstance(call.reply, Stream):
-                call.reply.gone()
+                call.reply.release()
         self.queue.clear()
 
 
@@ -543,7 +543,7 @@
 
     def __init__(
         self,
-        engine: Desk,
+        engine: RequestHandler,
         terms: CallRules,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
@@ -700,7 +700,7 @@
             if (more := connection.bytes_sent) > sent:
                 self.streams[connection] = (more, self.loop.time())
             elif self.loop.time() - since > STREAM_STALL_TIMEOUT:
-                connection.break_off()
+                connection.abort()
         latest_start = self.loop.time() - MIN_IDLE_TIME
         excess = len(self.idle_since) - int(self._max_connections * MAX_IDLE_FRACTION)
         for connection, since in list(islice(self.idle_since.items(), max(0, excess))):
