--- a/tests/test_work_by_http.py
+++ b/tests/test_work_by_http.py
@@ -35,7 +35,7 @@
 
 def boxes(spoken: str) -> dict[str, Any]:
     """What a deployment is made with whose boxes speak this."""
-    return {"told": by_http(), "link": HttpLink} if spoken == "http" else {"link": Resp2Link}
+    return {"document": by_http(), "link": HttpLink} if spoken == "http" else {"link": Resp2Link}
 
 
 async def killed_under(deployment: Any, asked: tuple[str, str, bytes], **headers: Any) -> list[Client]:
