--- a/mothgap/rules.py
+++ b/mothgap/rules.py
@@ -57,8 +57,17 @@
     Watch,
     ZoneParts,
 )
-from mothgap.lending import LIFE, Ask, Give, Questions, held_back, in_set, read, write
-from mothgap.names import NAME_LIFE, SECOND, count_name, window
+from mothgap.lending import (
+    REPLY_TIMEOUT,
+    LoanReply,
+    LoanRequest,
+    PendingLoans,
+    decode,
+    encode,
+    is_entry_point,
+    reserved_units,
+)
+from mothgap.names import MAX_NAME_LIFETIME, SECOND, count_name, window
 from mothgap.state import (
     AVERAGING_TIME,
     SLOW_SMOOTHING,
@@ -197,7 +206,7 @@
         self._zone_parts: dict[int, float] = {}  # by zone: the part in use, for zones in partial use
         self._kinds: dict[int, ServerKind] = {}
         self._warm_counts: dict[int, int] = {}  # warm servers by kind, counted at `_warm_counted_at`
-        self._warm_counted_at = now - NAME_LIFE
+        self._warm_counted_at = now - MAX_NAME_LIFETIME
         # One limit for all servers, in fleets of more than a few gateways.
         self._shared_limit: AttemptLimit | None = None
         # More gateways than servers: most customers send less than one request per window here.
@@ -213,7 +222,7 @@
         self._call_amounts: dict[int, list[tuple[Customer, float]]] = {}
         self._class_latency = [0.0 for _ in settings.classes]  # moving average of answer times by class
         # Consecutive failed counter calls, each sent after the previous one had failed; time of the last one.
-        self._counter_failures, self._counter_failed_at = 0, now - NAME_LIFE
+        self._counter_failures, self._counter_failed_at = 0, now - MAX_NAME_LIFETIME
         self._counter_trial_at = now  # time of the next trial call
         # By class: usual time left of a try, and votes for it.
         self._usual_time_left = [(0, 0) for _ in settings.classes]
@@ -231,7 +240,7 @@
         # microseconds at a whole part, and when it was brought up to date.
         self._ceiling_part, self._ceiling_refilled, self._ceiling_refilled_at = 1.0, 0.0, now
         # Value of `_ceiling_refilled`, and the time, when all was handed back.
-        self._handed_back_mark, self._handed_back_at = 0.0, now - NAME_LIFE
+        self._handed_back_mark, self._handed_back_at = 0.0, now - MAX_NAME_LIFETIME
         # Occupied attempts and limits of all servers, and when they were summed.
         self._room_sums, self._room_sums_at = (0.0, 0.0), now - CACHE_TIME
         self._ejected: dict[str, None] = {}  # last result of `_ejected_servers`
@@ -239,7 +248,7 @@
         self._stopping: Stopping | None = None
         # A counter that a reload removes still takes units back.
         self._had_counter = settings.counter is not None
-        self._questions = Questions(settings.index, self._rng)
+        self._questions = PendingLoans(settings.index, self._rng)
         # By token: request, and attempt; None: its total.
         self._timers: dict[int, tuple[int, int | None]] = {}
         self._last_timer_token = 0
@@ -481,7 +490,10 @@
             # The ceiling's share starts empty at boot, so that no restart refills it; and also after all of
             # it has been handed back, as another gateway may have served the customer meanwhile.
             customer.ceiling_refill_mark = self._handed_back_mark
-            if self._counter_failures >= BREAKER_THRESHOLD and self._now - self._handed_back_at < NAME_LIFE:
+            if (
+                self._counter_failures >= BREAKER_THRESHOLD
+                and self._now - self._handed_back_at < MAX_NAME_LIFETIME
+            ):
                 customer.debt = plan.burst  # no total shows what it has used at other gateways
         elif customer.burst != plan.burst:
             customer.burst = plan.burst  # a plan's new figures apply to units already taken, too
@@ -506,7 +518,7 @@
         customer.updated_at = self._now
         gateways = max(1, entry_points)
         customer.quota_rate = plan.rate
-        capacity = plan.ceiling_burst - (held_back(plan) if self._settings.limits.peers else 0.0)
+        capacity = plan.ceiling_burst - (reserved_units(plan) if self._settings.limits.peers else 0.0)
         customer.ceiling_refill_rate, customer.ceiling_capacity = (
             plan.ceiling_rate / gateways,
             max(0.0, capacity) / gateways,
@@ -523,7 +535,7 @@
             not customer.ceiling_refill_rate
             or customer.ceiling_capacity * self._ceiling_part <= customer.ceiling_units
         )
-        return elapsed > NAME_LIFE / 2 / SECOND and quota_refilled and ceiling_refilled
+        return elapsed > MAX_NAME_LIFETIME / 2 / SECOND and quota_refilled and ceiling_refilled
 
     def _refill_ceiling(self, customer: Customer) -> None:
         """Refill this gateway's share of the customer's ceiling up to now."""
@@ -576,7 +588,7 @@
         units, job.customer.pending = units + min(job.customer.pending, job.customer.debt), 0.0
         self._open_calls.setdefault(name, []).append(waiting)
         self._call_amounts.setdefault(name, []).append((job.customer, units))
-        self._actions.append(Count(name, units, min(NAME_LIFE, 2 * length)))
+        self._actions.append(Count(name, units, min(MAX_NAME_LIFETIME, 2 * length)))
 
     def _on_counted(self, event: Counted) -> None:
         self._current_request = waiting = self._open_calls[event.name].pop(0)
@@ -778,7 +790,9 @@
                 self._ask_peers(job, plan, 1)  # for the next request
         elif self._can_borrow(job, plan) and self._loan_expected(job):
             customer.waiting.append(job)
-            self._set_timer(min(LIFE, self._max_wait_for_total(job)), job.request.id, CEILING_WAIT_TIMER)
+            self._set_timer(
+                min(REPLY_TIMEOUT, self._max_wait_for_total(job)), job.request.id, CEILING_WAIT_TIMER
+            )
         else:
             self._finish(job, Cause.CEILING)
 
@@ -789,26 +803,28 @@
 
     def _loan_expected(self, job: OpenRequest) -> bool:
         """Whether questions to other gateways for its customer are open."""
-        return self._questions.out(job.request.customer, self._now) > 0
+        return self._questions.count_pending(job.request.customer, self._now) > 0
 
     def _ask_peers(self, job: OpenRequest, plan: Plan, gateways: int) -> None:
         request, customer = job.request, job.customer
         capacity = customer.ceiling_capacity * self._ceiling_part
         wanted = max(request.units - customer.ceiling_units, (capacity - customer.ceiling_units) / gateways)
-        ask = Ask(request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry)
+        ask = LoanRequest(
+            request.customer, 0, wanted, request.plan, request.entry_points, request.first_entry
+        )
         for _ in range(min(gateways, MAX_PEERS_ASKED - job.peers_asked)):
-            question = self._questions.ask(ask, self._settings.fleet_size, self._now)
+            question = self._questions.request(ask, self._settings.fleet_size, self._now)
             if question is not None:
                 job.peers_asked += 1
                 self._actions.append(question)
 
     def _on_peer_message(self, event: PeerMessage) -> None:
         """Handle a question for ceiling units, or the answer to one; any other message is dropped."""
-        message = read(event.data)
-        if isinstance(message, Ask):
+        message = decode(event.data)
+        if isinstance(message, LoanRequest):
             self._lend(message, event.sender)
-        elif isinstance(message, Give):
-            units = self._questions.answered(message, event.sender, self._now)
+        elif isinstance(message, LoanReply):
+            units = self._questions.accept_reply(message, event.sender, self._now)
             customer = self._customers.get(message.customer)
             if units is not None and customer is not None:
                 self._refill_ceiling(customer)
@@ -817,7 +833,7 @@
                 # Units that no request waits for are saved up within this gateway's part.
                 self._refill_ceiling(customer)
 
-    def _lend(self, ask: Ask, sender: int) -> None:
+    def _lend(self, ask: LoanRequest, sender: int) -> None:
         """Lend ceiling units to the sender: units subtracted here count for it.
 
         Nothing is lent to or by a gateway that has no part of the customer's ceiling.
@@ -827,24 +843,25 @@
             return
         valid = (
             ask.plan < len(self._settings.plans)
-            and 1 < ask.spread <= fleet
+            and 1 < ask.entry_points <= fleet
             and sender != self._settings.index
         )
         if not valid or not all(
-            in_set(n, ask.first, ask.spread, fleet) for n in (sender, self._settings.index)
+            is_entry_point(n, ask.first_entry, ask.entry_points, fleet)
+            for n in (sender, self._settings.index)
         ):
             return
         plan = self._settings.plans[ask.plan]
         customer = self._customers.get(ask.customer)
         if customer is None and plan.ceiling_rate > 0:
-            customer = self._get_customer(ask.customer, plan, ask.spread)
+            customer = self._get_customer(ask.customer, plan, ask.entry_points)
         units = 0.0
         if customer is not None and customer.ceiling_refill_rate > 0 and not customer.waiting:
             self._refill_ceiling(customer)
             kept_share = 0.5 if self._now - customer.last_request_at < BUSY_CUSTOMER_TIME else 0.0
             units = max(0.0, min(ask.units, customer.ceiling_units * (1.0 - kept_share)))
             customer.ceiling_units -= units
-        self._actions.append(Tell(sender, write(Give(ask.customer, ask.number, units))))
+        self._actions.append(Tell(sender, encode(LoanReply(ask.customer, ask.loan_id, units))))
 
     def _resume_waiting(self, customer: Customer) -> None:
         """Resume waiting requests in order: each is sent, asks once more, or is refused if none is left."""
@@ -1409,7 +1426,7 @@
             )
         ]
         # In large fleets each gateway keeps to a few servers, by its index, and so uses each often enough.
-        self._subset, self._warm_counted_at = self._ready, self._now - NAME_LIFE
+        self._subset, self._warm_counted_at = self._ready, self._now - MAX_NAME_LIFETIME
         self._room_sums_at = self._ejected_at = self._now - CACHE_TIME
         if self._settings.fleet_size > len(self._ready) > SUBSET_SIZE:
             order = sorted(self._ready, key=lambda s: s.member.server)
