--- a/lynxreel/__main__.py
+++ b/lynxreel/__main__.py
@@ -15,8 +15,8 @@
 
 from lynxreel.daemon.instance import Instance
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes
-from lynxreel.fronts.listeners import OwnDoors, inherited
-from lynxreel.fronts.resp2 import HALF_READ
+from lynxreel.fronts.listeners import OwnListenerFactory, inherited_listener
+from lynxreel.fronts.resp2 import PARTIAL_READ_TIMEOUT
 from lynxreel.log import log
 from lynxreel.node import Deployment, Node, PeerPlan
 from lynxreel.peers.clock import FleetClock
@@ -77,14 +77,14 @@
     accept = 0.0 if shared else ACCEPT
     killed = min(longest, LONGEST_WAIT) + KILL_MARGIN
     answer = max(0.0, killed - ANSWER_MARGIN - accept)
-    return ShutdownTimes(accept, ACCEPT - accept, answer, longest + HALF_READ)
+    return ShutdownTimes(accept, ACCEPT - accept, answer, longest + PARTIAL_READ_TIMEOUT)
 
 
 class Program(Instance):
     """The platform's program: its configuration says where to listen, and SIGHUP where to look."""
 
     def __init__(self, config: dict[str, Any], loop: asyncio.AbstractEventLoop) -> None:
-        given = inherited("EDGE_LISTEN_FD")
+        given = inherited_listener("EDGE_LISTEN_FD")
         self._shared = given is not None  # others may accept there, before this process and after it
         self._deployment = deployment = read_deployment(config, self._shared)
         longest = max(cls.deadline for cls in deployment.settings.classes) / 1e6
@@ -92,7 +92,7 @@
         self._operator = read_operator(config)
         self._seed = int(config["seed"], 16)
         self._known = read_list(config["known"], deployment.names, ListKind.CACHED)
-        self._doors = OwnDoors(loop, {deployment.listen[0]: given} if given is not None else {})
+        self._doors = OwnListenerFactory(loop, {deployment.listen[0]: given} if given is not None else {})
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
@@ -148,7 +148,7 @@
             case Do.CLOSE if self._shared:
                 self.node.hold(False)  # the process after it is ready
             case Do.CUT_OFF:
-                self.node.clients.cut_off()
+                self.node.clients.abort_all()
 
     def _move(self) -> None:
         """Go by the addresses in the new file. One that can't be read changes nothing."""
--- a/lynxreel/daemon/serve.py
+++ b/lynxreel/daemon/serve.py
@@ -27,8 +27,8 @@
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes, State
 from lynxreel.daemon.notify import Notifier
 from lynxreel.daemon.place import Place, Taken
-from lynxreel.fronts.listeners import Doors, OwnDoors, activated
-from lynxreel.fronts.resp2 import HALF_READ
+from lynxreel.fronts.listeners import ListenerFactory, OwnListenerFactory, systemd_listeners
+from lynxreel.fronts.resp2 import PARTIAL_READ_TIMEOUT
 from lynxreel.internal_errors import internal_errors
 from lynxreel.jsonlines import Commands, listen
 from lynxreel.log import log
@@ -66,7 +66,7 @@
         self._path, self._file, self._place, self._post = path, file, place, post
         self.announce = file.drain.announce_ms / 1e3
         self._notifier = Notifier()
-        doors: Doors = OwnDoors(self.loop, given)
+        doors: ListenerFactory = OwnListenerFactory(self.loop, given)
         self._leash: Leash | None = None
         if post is not None:
             from lynxreel.workers.worker import Leash, SharedDoors  # here: only under a supervisor
@@ -396,7 +396,9 @@
     """What the operator file says of a shutdown, and how much of that is kept for the last answers."""
     drain = file.drain
     accept, announce, cut_off = drain.accept_ms / 1e3, drain.announce_ms / 1e3, drain.deadline_ms / 1e3
-    return ShutdownTimes(accept, max(announce, HALF_READ), max(cut_off / 2, cut_off - LAST_ANSWERS), cut_off)
+    return ShutdownTimes(
+        accept, max(announce, PARTIAL_READ_TIMEOUT), max(cut_off / 2, cut_off - LAST_ANSWERS), cut_off
+    )
 
 
 def fit_sockets(file: OperatorFile) -> None:
@@ -427,7 +429,7 @@
             from lynxreel.workers.supervisor import supervise  # here: only where it is configured
 
             return supervise(path, file, take_over)
-        given = activated() if post is None else {}
+        given = systemd_listeners() if post is None else {}
     except (ConfigError, ValueError) as wrong:
         for problem in wrong.problems if isinstance(wrong, ConfigError) else [f"LISTEN_FDS: {wrong}"]:
             log(problem)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from lynxreel.sources.freshness import WatchPolicy
 from lynxreel.sources.platform import Discovery
 from mothgap.interface import ListKind, Member, Members, State
-from tests.net import LOCAL, NAMES, Peer, run
+from tests.net import LOCAL, NAMES, ScriptedServer, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 Changes = asyncio.Queue[tuple[Members, list[tuple[Member, Address]]]]
@@ -37,11 +37,11 @@
 
 
 def run_scenario(
-    scenario: Callable[[Peer, Changes, Discovery], Awaitable[None]], terms: WatchPolicy = SERVICE
+    scenario: Callable[[ScriptedServer, Changes, Discovery], Awaitable[None]], terms: WatchPolicy = SERVICE
 ) -> None:
     async def start() -> None:
         changes: Changes = asyncio.Queue()
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             loop = asyncio.get_running_loop()
             address, rng = (LOCAL, peer.port), random.Random(7)
             discovery = Discovery(
@@ -54,7 +54,7 @@
 
 
 def test_changes_are_read_from_lines_however_they_are_split() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         data = await peer.answer(HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
         text = b"\n" + line(42) + b"\n" + line(43, lifecycle="DRAINING")
@@ -70,11 +70,11 @@
 
 
 def test_a_watch_that_ends_is_resumed_from_its_version_and_a_reset_replaces_the_list() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
         await changes.get()
         peer.writers[0].transport.abort()
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
         assert b"from=77 " in await peer.answer(HEAD + chunk(line(90, reset=True)))
         assert (await changes.get())[0].kind is ListKind.FULL
 
@@ -94,9 +94,9 @@
     ],
 )
 def test_after_an_invalid_response_another_watch_is_opened(reply: bytes) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(reply)
-        while (heard := (await peer.hear())[1]) == b"":
+        while (heard := (await peer.receive())[1]) == b"":
             pass
         assert b"from=41 " in heard
         assert changes.empty()
@@ -105,14 +105,14 @@
 
 
 def test_a_silent_watch_stays_open_until_another_receives_a_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(42)))
         await changes.get()
-        assert b"from=42 " in (await peer.hear())[1]  # the first has been silent for too long
+        assert b"from=42 " in (await peer.receive())[1]  # the first has been silent for too long
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")))
         assert (await changes.get())[0].members[0].state is State.DRAINING
         peer.writers[1].write(HEAD + chunk(b"\n"))
-        assert (await peer.hear())[1] == b""  # the first watch is closed now
+        assert (await peer.receive())[1] == b""  # the first watch is closed now
 
     assert freshness.SILENCE_TIMEOUT > 2.0  # seconds between two heartbeats
     monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
@@ -137,7 +137,7 @@
     fields: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Otherwise the watch would end at that line, also each time it resumes from the version before it.
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         text = json.loads(line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
         await peer.answer(HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(line(45)))
@@ -151,17 +151,17 @@
     assert ["can't be read" in text for text in logged] == [True, True]
 
 
-async def open_second_watch(peer: Peer) -> None:
+async def open_second_watch(peer: ScriptedServer) -> None:
     """Wait until the first watch has received version 42 and is silent, and another is open beside it."""
     await peer.answer(HEAD + chunk(line(42)))
     while len(peer.writers) < 2:
-        await peer.hear()
+        await peer.receive()
 
 
 def test_changes_that_another_watch_has_received_are_not_reported_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await open_second_watch(peer)
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")) + chunk(line(44)))
         assert [(await changes.get())[0].version for _ in range(3)] == [42, 43, 44]
@@ -176,9 +176,9 @@
 def test_after_version_numbers_restart_the_list_is_requested_from_version_0(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)) + chunk(line(3, lifecycle="DRAINING")))
-        while (heard := (await peer.hear())[1]) == b"":
+        while (heard := (await peer.receive())[1]) == b"":
             pass
         assert b"from=0 " in heard
         peer.writers[-1].write(HEAD + chunk(line(3, lifecycle="DRAINING")))
@@ -191,15 +191,15 @@
 def test_after_version_numbers_restart_on_an_old_watch_the_list_is_requested_from_version_0(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await open_second_watch(peer)
         peer.writers[0].write(chunk(line(3)))
-        while (await peer.hear())[1]:  # until the first watch is closed
+        while (await peer.receive())[1]:  # until the first watch is closed
             pass
         peer.writers[1].write(HEAD + chunk(line(44)))
         assert [(await changes.get())[0].version for _ in range(2)] == [42, 44]
         peer.writers[1].close()
-        while b"from=0 " not in (await peer.hear())[1]:
+        while b"from=0 " not in (await peer.receive())[1]:
             pass
 
     monkeypatch.setattr(freshness, "SILENCE_TIMEOUT", 0.05)
@@ -209,12 +209,12 @@
 def test_a_full_list_older_than_what_another_watch_has_received_is_requested_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await open_second_watch(peer)
         peer.writers[0].write(chunk(line(43, lifecycle="DRAINING")))
         assert [(await changes.get())[0].version for _ in range(2)] == [42, 43]
         peer.writers[1].write(HEAD + chunk(line(42, reset=True)))  # does not contain the drain
-        while b"from=43 " not in (await peer.hear())[1]:
+        while b"from=43 " not in (await peer.receive())[1]:
             pass
         assert changes.empty()
         peer.writers[-1].write(HEAD + chunk(line(43, reset=True, lifecycle="DRAINING")))
@@ -227,9 +227,9 @@
 def test_a_new_address_is_called_at_once_though_a_request_to_the_old_one_is_pending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await open_second_watch(peer)
-        async with Peer() as other:
+        async with ScriptedServer() as other:
             discovery.set_address((LOCAL, other.port))
             assert b"from=42 " in await asyncio.wait_for(other.answer(HEAD + chunk(line(43))), 2)
             versions = [(await changes.get())[0].version for _ in range(2)]
@@ -242,9 +242,9 @@
 
 
 def test_an_agent_that_sends_only_a_response_head_gets_a_second_request() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD)
-        assert b"from=41 " in (await peer.hear())[1]  # and not the end of the first watch
+        assert b"from=41 " in (await peer.receive())[1]  # and not the end of the first watch
         peer.writers[0].write(chunk(line(42)))
         assert (await changes.get())[0].version == 42
 
@@ -252,7 +252,7 @@
 
 
 def test_a_list_may_be_indented_split_anywhere_and_longer_than_one_read() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         entries = json.loads(line(42))["instances"] * 1_024
         whole = {"generation": 50, "reset": True, "instances": entries}
         text = json.dumps(whole, indent=3).replace("\n", "\r\n").encode()
@@ -267,7 +267,7 @@
 
 
 def test_a_deleted_box_needs_no_address() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(44, lifecycle="DELETED", hostPort="")))
         assert (await changes.get())[0].members[0].state is State.GONE
 
@@ -275,15 +275,15 @@
 
 
 def test_a_new_address_is_watched_from_the_known_version() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
         await changes.get()
-        async with Peer() as other:
+        async with ScriptedServer() as other:
             discovery.set_address((LOCAL, other.port))
             discovery.set_address((LOCAL, other.port))
             assert b"from=77 " in await other.answer(HEAD + chunk(line(78)))
             assert (await changes.get())[0].version == 78
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
             assert len(other.writers) == 1
             discovery.close()
 
@@ -291,7 +291,7 @@
 
 
 def test_the_old_watch_is_used_until_the_new_address_answers() -> None:
-    async def scenario(peer: Peer, changes: Changes, discovery: Discovery) -> None:
+    async def scenario(peer: ScriptedServer, changes: Changes, discovery: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
         await changes.get()
         discovery.set_address((LOCAL, 1))  # connection refused
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,14 +11,14 @@
 
 import mothgap.rules
 from lynxreel.engine import engine as gateway
-from lynxreel.fronts.resp2 import Clients
+from lynxreel.fronts.resp2 import Resp2Front
 from lynxreel.engine.engine import Clock, Engine
 from lynxreel.backends.pools import Servers
 from lynxreel.backends.resp2 import Resp2
 from mothgap import interface as api
 from lynxreel.relay.budget import Budget
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, TERMS, Peer, call, resp, run
+from tests.net import LOCAL, TERMS, ScriptedServer, call, resp, run
 from tests.test_servers import LONG_TIMEOUT, OK, listed
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -52,7 +52,7 @@
 def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     script: Script,
-    scenario: Callable[[Engine, Peer, Streams], Awaitable[None]],
+    scenario: Callable[[Engine, ScriptedServer, Streams], Awaitable[None]],
 ) -> list[api.Event]:
     """Run a scenario with one client and one server; return the events."""
     Module.script, Module.events = staticmethod(script), []
@@ -61,12 +61,12 @@
     async def start() -> None:
         loop = asyncio.get_running_loop()
         engine = Engine(SETTINGS, 1, loop)
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             servers = Servers(engine, SETTINGS, 15_000_000, 8, loop, Resp2(), Budget(1 << 20))
             engine.backend = servers
             servers.update(listed(peer.port), True)
             engine.counter = ConfirmingCounter(engine)
-            clients = Clients(engine, TERMS, 8, loop)
+            clients = Resp2Front(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
             servers.close()
@@ -81,7 +81,7 @@
 
 
 def test_a_request_is_sent_to_the_server_and_its_value_to_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1))
         data = await peer.answer(OK)
@@ -106,7 +106,7 @@
             raise ZeroDivisionError("boom")
         yield from send_requests(event)
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1) + call(2))
         assert await reader.readline() == b"-BUSY\r\n"
@@ -126,7 +126,7 @@
         if isinstance(event, api.Request):
             yield api.Probe("s-1")
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         streams[1].write(call(1))
         assert await streams[0].readline() == b"-BUSY\r\n"
 
@@ -148,7 +148,7 @@
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         streams[1].write(call(1, b"c=lookup,t=basic,d=40"))
         assert await streams[0].readline() == b"-BUSY\r\n"
 
@@ -161,7 +161,7 @@
         if isinstance(event, api.Request):
             yield from (api.Refuse(event.id, 5_000), api.Fail(event.id), api.Refuse(event.id))
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         streams[1].write(call(1) + resp(b"PING"))
         assert await streams[0].readline() == b"-BUSY 5\r\n"
         assert await streams[0].readline() == b"+PONG\r\n"
@@ -177,11 +177,11 @@
             done.set()
         yield from send_requests(event)
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         stub = typing.cast(gateway.Call, DisconnectedCall())
         engine.client_disconnected(engine.submit(stub))  # before the module handles the request
         await done.wait()
-        assert peer.came.empty()
+        assert peer.received.empty()
 
     events = run_scenario(monkeypatch, script, scenario)
     not_sent = api.Outcome(1, 0, "s-1", api.Result.NOT_SENT, 0, True)
@@ -196,7 +196,7 @@
         if isinstance(event, api.Request):
             yield from [api.Send(event.id, "s-1", LONG_TIMEOUT)] * (1 + (how == "served"))
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         may_connect = asyncio.Event()
         connect = Servers._connect
 
@@ -220,7 +220,7 @@
         await asyncio.sleep(
             0.02
         )  # without the withdrawal, the connection would be established and written to
-        assert peer.came.empty()
+        assert peer.received.empty()
 
     events = run_scenario(monkeypatch, script, scenario)
     results = [(event.attempt, event.result) for event in events if isinstance(event, api.Outcome)]
@@ -245,7 +245,7 @@
         elif isinstance(event, api.Outcome) and event.attempt < 3 * max_attempts:
             yield api.Send(event.request, "s-1", LONG_TIMEOUT)
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         engine.backend.update(listed(peer.port, api.State.DRAINING), False)  # type: ignore[attr-defined]
         real_send = Servers.send
 
@@ -273,7 +273,7 @@
 
     disconnected = asyncio.Event()
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         engine.observer = Observer()
         streams[1].write(call(1))
         await asyncio.sleep(0.02)
@@ -297,7 +297,7 @@
             handled.set()
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         engine.submit(typing.cast(gateway.Call, DisconnectedCall()))
         engine.update_members(members)
         await handled.wait()
@@ -322,11 +322,11 @@
                 yield api.Fail(1)
                 done.set()
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         streams[1].write(call(1))
-        assert (await peer.hear())[1] != b""
+        assert (await peer.receive())[1] != b""
         assert await streams[0].readline() == b"-ERR failed\r\n"
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
         await done.wait()
 
     events = run_scenario(monkeypatch, script, scenario)
@@ -360,11 +360,11 @@
         if isinstance(event, api.Request) and event.id == 1:
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1))
         assert await reader.readline() == b"-BUSY\r\n"
-        server, _ = await peer.hear()
+        server, _ = await peer.receive()
         writer.write(call(1))
         assert await reader.readline() == b"-ERR the id is taken\r\n"
         server.write(OK)
@@ -378,7 +378,7 @@
 
 
 def test_a_client_timeout_is_limited_to_the_deadline_of_the_class(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         streams[1].write(call(1, b"c=lookup,t=basic,d=999999999"))
         await peer.answer(OK)
         assert await streams[0].readexactly(11) == b"$5\r\nvalue\r\n"
@@ -393,13 +393,13 @@
 ) -> None:
     """The module sets no timeouts here: deadlines and timeouts are the engine's own."""
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1))
-        await peer.hear()
+        await peer.receive()
         engine.stop(10.0, 0.05)
         writer.write(call(2))
-        sent_deadline = re.search(rb",d=(\d+),", (await peer.hear())[1])
+        sent_deadline = re.search(rb",d=(\d+),", (await peer.receive())[1])
         assert sent_deadline is not None
         assert int(sent_deadline[1]) <= 50
         assert await reader.readline() == b"-BUSY\r\n"  # long before the 890 ms that it had at first
@@ -423,10 +423,10 @@
         if isinstance(event, api.Outcome):
             yield api.Refuse(event.request)
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1, b"c=lookup,t=basic,d=60"))
-        await peer.hear()
+        await peer.receive()
         time.sleep(0.1)
         assert await reader.readline() == b"-BUSY\r\n"
 
@@ -442,7 +442,7 @@
     def script(event: api.Event) -> Iterator[api.Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, streams: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, streams: Streams) -> None:
         reader, writer = streams
         writer.write(call(1, b"c=lookup,t=basic,d=3000"))
         while not engine.pending_requests():
--- a/tests/test_http_boxes.py
+++ b/tests/test_http_boxes.py
@@ -29,9 +29,17 @@
 from mothgap.interface import Limits, Member, Result, State
 from tests.fleet import Caller, run, told
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, Heard, Peer
+from tests.net import LOCAL, EngineStandIn, ScriptedServer
 from tests.net import run as run_short
-from tests.test_http import OK, Client, came, customers, description, web, young
+from tests.test_http import (
+    OK,
+    Client,
+    requests_at_boxes,
+    customers,
+    description,
+    web,
+    customer_with_new_window,
+)
 
 GET = Exchange("GET", "/v1/numbers/1", (("Accept", "*/*"),), rejection_statuses=frozenset({503}))
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
@@ -41,7 +49,7 @@
     """The connection pools, with a fake engine that records the results of attempts."""
 
     def __init__(self, port: int) -> None:
-        self.engine, self.numbers = Heard(), itertools.count(1)
+        self.engine, self.numbers = EngineStandIn(), itertools.count(1)
         loop = asyncio.get_running_loop()
         self.servers = Servers(cast(Engine, self.engine), FAST, 60_000_000, 8, loop, Http(), Budget(1 << 20))
         self.servers.update([(Member("s-1", State.READY), (LOCAL, port))], True)
@@ -103,10 +111,10 @@
 )
 def test_each_answer_has_its_outcome(reply: bytes, result: Result, value: bytes, reused: bool) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             attempt = rig.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             writer.write(reply)
             assert (await rig.engine.ended.get())[:3] == (attempt.request, result, value)
             assert rig.idle() == reused
@@ -117,10 +125,10 @@
 @pytest.mark.parametrize("cut", [1, 20, len(VALID) - 1])
 def test_a_truncated_answer_is_a_reset(cut: int) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             writer.write(VALID[:cut])
             writer.close()
             assert (await rig.engine.ended.get())[1] is Result.RESET
@@ -132,10 +140,10 @@
 def test_a_break_in_the_middle_of_a_body_does_not_prove_that_it_never_ran(size: int, result: Result) -> None:
     # A box may start to work when it has the head, so half a body may have run; half a head has not.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send(Exchange("POST", "/x" if size else "/" + "x" * 40_000_000, (), b"x" * size))
-            writer, _ = await peer.came.get()
+            writer, _ = await peer.received.get()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.transport.abort()
             assert (await rig.engine.ended.get())[1] is result
@@ -145,10 +153,10 @@
 
 def test_load_reports_and_hop_by_hop_fields_are_not_forwarded() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            writer, _ = await peer.hear(b"\r\n\r\n")
+            writer, _ = await peer.receive(b"\r\n\r\n")
             between = ("Lynxreel-Load: inflight=7,queue=2", "Connection: X-Hop", "X-Hop: 1")
             ends = ("Set-Cookie: c", "ETag: a", "Set-Cookie: b")
             writer.write(head("200 OK", LENGTH, *between, *ends) + b"value")
@@ -211,7 +219,7 @@
 
 def test_a_box_is_sent_a_regenerated_request_and_its_answer_is_forwarded(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(path="/inner"), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(path="/inner"), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             trace = f"00-{'a' * 32}-{'b' * 16}-01"
             answer = await client.ask(
@@ -245,14 +253,14 @@
 @pytest.mark.parametrize("kind", [Kind.SILENT, Kind.RESET, Kind.SPOILT, Kind.HALF, Kind.REFUSE, Kind.EARLY])
 def test_a_post_that_fails_at_a_box_by_http_is_never_run_twice(tmp_path: Path, kind: Kind) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             deployment.box_faults.on(Fault(kind))
             body = b'{"from": "' + b"x" * 60_000 + b'"}'
             answer = await client.ask("POST", "/v1/ports", body, Prefer="wait=1")
             # A box that answers before it has read the body resets the connection: its answer may be lost.
             assert answer.status in ((413, 503) if kind is Kind.EARLY else (503, 504))
-            assert came(deployment) == (0 if kind is Kind.EARLY else 1)
+            assert requests_at_boxes(deployment) == (0 if kind is Kind.EARLY else 1)
             heads = sum(box.listener.taken for box in deployment.boxes)
             assert heads == 1  # no second box was asked
 
@@ -261,7 +269,7 @@
 
 def test_a_request_rejected_with_a_status_named_by_the_operator_goes_to_another_box(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(turned_away=[503]), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(turned_away=[503]), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             for box in deployment.boxes[:4]:
                 deployment.box_faults.on(Fault(Kind.REFUSE, target=box.name))
@@ -276,7 +284,7 @@
 
 def test_a_drained_box_by_http_gets_no_new_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             client = await Client.to(deployment.gateways[0])
             for _ in range(30):
                 assert (await client.ask("GET", "/v1/numbers/1")).status == 201
@@ -300,9 +308,9 @@
 
 def test_both_kinds_of_clients_share_one_quota_at_boxes_by_http(tmp_path: Path) -> None:
     async def scenario() -> None:
-        number = young()
+        number = customer_with_new_window()
         keys = {"mixed": f"{number:016x}"}
-        async with web(tmp_path, 2, burst=30.0, keys=keys, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, 2, burst=30.0, keys=keys, document=by_http(), link=HttpLink) as deployment:
             webs = [await Client.to(gateway) for gateway in deployment.gateways]
             callers = [await Caller.to(gateway) for gateway in deployment.gateways]
             served = Counter[str]()
@@ -315,7 +323,7 @@
                     callers[turn // 2 % 2].command("CALL.GET", f"{number:016x}", f"m{turn}", terms)
                     served["resp"] += (await callers[turn // 2 % 2].answer()).startswith(b"done")
             total = served.total()
-            assert total == sum(customers(deployment).values()) == came(deployment)
+            assert total == sum(customers(deployment).values()) == requests_at_boxes(deployment)
             assert 30 <= total < 60 and min(served.values()) > 5
             calls = [request for request in seen(deployment) if request.target == "/lynxreel/call"]
             assert len(calls) == served["resp"] and calls[0].headers["lynxreel-command"] == "CALL.GET"
@@ -325,7 +333,7 @@
 
 def test_a_reload_does_not_change_the_protocol_of_boxes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with web(tmp_path, told=by_http(), link=HttpLink) as deployment:
+        async with web(tmp_path, document=by_http(), link=HttpLink) as deployment:
             (tmp_path / "api.json").write_text(json.dumps(description()))
             deployment.do("reload", (0,))
             problems = (await told(deployment.gateways[0], reloads=1))["reload_problems"]
--- a/tests/test_keys_and_hold_ups.py
+++ b/tests/test_keys_and_hold_ups.py
@@ -11,7 +11,7 @@
 from lynxreel.local.deployment import Gateway
 from lynxreel.standins.faults import Fault, Kind
 from tests.fleet import run
-from tests.test_http import Client, came, web
+from tests.test_http import Client, requests_at_boxes, web
 from tests.test_work_by_http import KEY, KEYED, kill_owner_during, outcome, with_bodies
 from tests.test_work_in_hand import wait_until
 
@@ -38,7 +38,7 @@
 async def stall_the_others(folder: Path, seed: int, together: bool) -> None:
     """Kills the owner of a keyed request; the others stall, each once, while it is repeated."""
     rng = random.Random(f"{seed} {together}")
-    async with web(folder, 3, takeover=True, told=with_bodies()) as deployment:
+    async with web(folder, 3, takeover=True, document=with_bodies()) as deployment:
         others = await kill_owner_during(deployment, KEYED, **KEY)
         stalls = [
             asyncio.create_task(stall(one, rng.uniform(0, 0.05), rng.choice([0.05, 0.1, MAX_STALL])))
@@ -51,7 +51,7 @@
         assert len({(status, body) for status, body, _ in answers}) == 1, answers
         assert answers[0][0] == 200
         await asyncio.sleep(MAX_STALL)
-        assert came(deployment) == 2  # once by each owner
+        assert requests_at_boxes(deployment) == 2  # once by each owner
 
 
 @pytest.mark.parametrize("together", [False, True], ids=["in turn", "together"])
@@ -68,14 +68,14 @@
     """Prevents a second run of a request that takes longer than instances wait for each other's response."""
 
     async def scenario() -> None:
-        async with web(tmp_path, 3, takeover=True, told=with_bodies()) as deployment:
+        async with web(tmp_path, 3, takeover=True, document=with_bodies()) as deployment:
             deployment.box_faults.on(Fault(Kind.SLOW, delay=0.4))
             clients = [await Client.to(gateway) for gateway in deployment.gateways]
             clients[0].send(*KEYED, **KEY)
-            await wait_until(lambda: came(deployment) == 1)
+            await wait_until(lambda: requests_at_boxes(deployment) == 1)
             answers = await repeat_key(clients[1:], together)
             assert {status for status, _, _ in answers} == {200}
             assert outcome(await clients[0].answer())[:2] == answers[0][:2]
-            assert came(deployment) == 1
+            assert requests_at_boxes(deployment) == 1
 
     run(scenario)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,13 +13,13 @@
 from lynxreel.backends.pools import Servers
 from lynxreel.backends.resp2 import Resp2
 from lynxreel.engine.engine import Attempt, Engine
-from lynxreel.fronts.resp2 import Clients
+from lynxreel.fronts.resp2 import Resp2Front
 from lynxreel.protocol.resp import MAX_STREAM
 from lynxreel.relay.budget import MIN_READ, Budget
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Member, Result, State
 from tests.helpers import SETTINGS
-from tests.net import LOCAL, TERMS, Heard, Peer, call, drain_times, run
+from tests.net import LOCAL, TERMS, EngineStandIn, ScriptedServer, call, drain_times, run
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 LARGE = MAX_STREAM
@@ -67,7 +67,7 @@
     assert budget.allowance("a") > 0
 
 
-class DirectEngine(Heard):
+class DirectEngine(EngineStandIn):
     """In place of the engine: each call is one attempt, and the result of that is the answer."""
 
     servers: Servers
@@ -94,7 +94,7 @@
 class Rig:
     """A listener for clients, connection pools, and a server that the test controls."""
 
-    def __init__(self, peer: Peer, budget: int) -> None:
+    def __init__(self, peer: ScriptedServer, budget: int) -> None:
         loop = asyncio.get_running_loop()
         self.peer, self.budget, self.engine = peer, Budget(budget), DirectEngine()
         engine = cast(Engine, self.engine)
@@ -102,7 +102,7 @@
             engine, SETTINGS, 60_000_000, 64, loop, Resp2(), self.budget
         )
         self.servers.update([(Member("s-1", State.READY), (LOCAL, peer.port))], True)
-        self.clients = Clients(engine, TERMS, 64, loop)
+        self.clients = Resp2Front(engine, TERMS, 64, loop)
 
     async def client(self) -> Streams:
         return await asyncio.open_connection(LOCAL, self.clients.port, limit=1 << 23)
@@ -110,7 +110,7 @@
 
 def run_scenario(scenario: Callable[[Rig], Awaitable[None]], budget: int = 1 << 20) -> None:
     async def start() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer, budget)
             await rig.clients.listen(LOCAL, 0)
             await scenario(rig)
@@ -145,7 +145,7 @@
         rng, sent = random.Random(size), value(size)
         for number in range(2):
             writer.write(call(number))
-            server, _ = await rig.peer.hear()
+            server, _ = await rig.peer.receive()
             answer = head(size) + sent + TAIL
             while answer:
                 cut = rng.choice([1, 2, 3, 1_000, 100_000, 300_000])
@@ -166,7 +166,7 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:10])
         assert await reader.readexactly(19) == b"$100000\r\n" + sent[:10]
@@ -188,7 +188,7 @@
         sent = value(LARGE)
         for number, (_, writer) in enumerate(slow):
             writer.write(call(number))
-            server, _ = await rig.peer.hear()
+            server, _ = await rig.peer.receive()
             server.write(head(LARGE) + sent + TAIL)
         await wait_until(lambda: len(rig.budget) == 12)
         await asyncio.sleep(0.3)
@@ -216,9 +216,9 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         writer.write(call(2))
-        await rig.peer.hear()
+        await rig.peer.receive()
         server.write(head(size) + rest)
         if len(rest) < size:
             await server.drain()
@@ -242,7 +242,7 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         server.write(head(size) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
         assert (await rig.engine.ended.get())[1] is Result.ERROR
@@ -254,11 +254,11 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         server.write(head(LARGE) + b"x" * 200_000)
         await reader.readexactly(1_000)
         writer.transport.abort()
-        assert await rig.peer.hear() == (server, b"")
+        assert await rig.peer.receive() == (server, b"")
         await wait_until(lambda: len(rig.budget) == 0)
         assert rig.servers.open == 0
 
@@ -270,9 +270,9 @@
         rig.engine.is_closed = lambda attempt: True
         _, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         server.write(head(LARGE) + b"x" * 200_000)
-        assert await rig.peer.hear() == (server, b"")
+        assert await rig.peer.receive() == (server, b"")
         assert (len(rig.budget), rig.servers.open) == (0, 0)
 
     run_scenario(scenario)
@@ -282,11 +282,11 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        first, _ = await rig.peer.hear()
+        first, _ = await rig.peer.receive()
         writer.write(call(2))
-        second, _ = await rig.peer.hear()
+        second, _ = await rig.peer.receive()
         writer.write(call(3))
-        third, _ = await rig.peer.hear()
+        third, _ = await rig.peer.receive()
         sent = value(1_000_000)
         second.write(head(len(sent)) + sent + TAIL)
         third.write(b"*3\r\n$1\r\nz" + TAIL)
@@ -301,20 +301,20 @@
 
 
 def test_a_value_that_stalls_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lynxreel.fronts.resp2.STALL", 0.1)
-    monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP", 0.02)
+    monkeypatch.setattr("lynxreel.fronts.resp2.STREAM_STALL_TIMEOUT", 0.1)
+    monkeypatch.setattr("lynxreel.fronts.resp2.SWEEP_INTERVAL", 0.02)
 
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         for _ in range(10):  # slow, but not stalled
             server.write(head(100_000) + b"x" if not rig.clients.streams else b"x")
             await asyncio.sleep(0.04)
         assert len(rig.clients.streams) == 1
         with pytest.raises(asyncio.IncompleteReadError):
             await reader.readexactly(100_000)
-        assert await rig.peer.hear(b"none") == (server, b"")
+        assert await rig.peer.receive(b"none") == (server, b"")
 
     run_scenario(scenario)
 
@@ -323,7 +323,7 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         sent = value(100_000)
         server.write(head(len(sent)) + sent[:70_000])
         await wait_until(lambda: bool(rig.clients.streams))
@@ -342,7 +342,7 @@
     async def scenario(rig: Rig) -> None:
         reader, writer = await rig.client()
         writer.write(call(1))
-        server, _ = await rig.peer.hear()
+        server, _ = await rig.peer.receive()
         server.write(head(100_000) + b"x" * 1_000)
         assert await reader.readline() == b"-ERR failed\r\n"
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -15,7 +15,7 @@
 from lynxreel.relay.budget import Budget
 from mothgap.interface import Limits, Member, Result, State
 from tests.helpers import ONCE, REPEATABLE, SETTINGS
-from tests.net import LOCAL, Heard, Peer, resp, run
+from tests.net import LOCAL, EngineStandIn, ScriptedServer, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
 LONG_TIMEOUT = 10_000_000  # microseconds
@@ -51,7 +51,7 @@
     """The connection pools, with a fake engine that records the results of attempts."""
 
     def __init__(self, port: int, max_connections: int = 8) -> None:
-        self.engine, self.next = Heard(), 0
+        self.engine, self.next = EngineStandIn(), 0
         loop = asyncio.get_running_loop()
         engine, budget = cast(Engine, self.engine), Budget(1 << 20)
         self.servers = Servers(engine, FAST, 60_000_000, max_connections, loop, Resp2(), budget)
@@ -100,7 +100,7 @@
 )
 def test_each_answer_has_its_outcome(reply: bytes, told: tuple[Result, bytes, tuple[float, ...]]) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(reply)
@@ -123,25 +123,25 @@
 )
 def test_a_connection_with_an_invalid_answer_or_more_behind_it_is_closed(reply: bytes) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(reply)
             await rig.end()
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_an_idle_connection_that_receives_data_is_closed() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(OK)
             await rig.end()
             peer.writers[0].write(b"+hello\r\n")
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
@@ -159,10 +159,10 @@
 
 def test_a_break_after_the_last_byte_is_a_reset() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            (await peer.hear())[0].transport.abort()
+            (await peer.receive())[0].transport.abort()
             assert await rig.end() == (1, Result.RESET)
 
     run(scenario)
@@ -184,29 +184,29 @@
 
 def test_a_time_out_closes_the_connection() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(OK)  # so that the timeout can't occur while connecting
             await rig.end()
             rig.send(timeout=20_000)
-            assert (await peer.hear())[1] != b""
+            assert (await peer.receive())[1] != b""
             assert await rig.end() == (2, Result.TIMEOUT)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_an_attempt_given_up_while_connecting_writes_nothing_later() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.servers.cancel(rig.send(size=11))
             assert await rig.end() == (1, Result.CONNECT_FAILED)
             timed_out = rig.send(timeout=0, size=12)
             assert await rig.end() == (timed_out.request, Result.CONNECT_FAILED)
             rig.send(size=13)
-            while (received := (await peer.hear())[1]) == b"":
+            while (received := (await peer.receive())[1]) == b"":
                 pass
             assert received == resp(b"CALL.GET", b"x" * 13)
 
@@ -230,14 +230,14 @@
     how: str,
 ) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send(size=11)
             remove_server(rig, peer.port, how)
             assert rig.engine.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
             rig.servers.update(listed(peer.port), False)  # the server is ready again
             rig.send(size=12)
-            while (received := (await peer.hear())[1]) == b"":
+            while (received := (await peer.receive())[1]) == b"":
                 pass
             assert received == resp(b"CALL.GET", b"x" * 12)
 
@@ -250,12 +250,12 @@
 ) -> None:
     # On a reused connection, and on one that is established later.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             for kept in (True, False):
                 rig = Rig(peer.port)
                 if kept:
                     rig.send()
-                    writer, _ = await peer.hear()
+                    writer, _ = await peer.receive()
                     writer.write(OK)
                     assert await rig.end() == (1, Result.OK)
                 else:
@@ -266,7 +266,7 @@
                     rig.send()
                 assert (await rig.end())[1] is Result.NOT_SENT
                 rig.servers.close()
-                assert (await peer.hear())[1] == b""
+                assert (await peer.receive())[1] == b""
 
     monkeypatch.setattr(Servers, "_withdraw_unsent", lambda *_: None)
     run(scenario)
@@ -274,12 +274,12 @@
 
 def test_a_withdrawn_attempt_continues_only_if_it_was_written() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.servers.withdraw(rig.send())
             assert rig.engine.ended.get_nowait()[:2] == (1, Result.NOT_SENT)
             written = rig.send(size=12)
-            while (received := await peer.hear())[1] == b"":
+            while (received := await peer.receive())[1] == b"":
                 pass
             assert received[1] == resp(b"CALL.GET", b"x" * 12)
             rig.servers.withdraw(written)
@@ -291,7 +291,7 @@
 
 def test_connections_are_opened_ahead_within_the_limit_unless_they_have_a_price() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             for price, opened in ((0.1, 0), (0.0, 3)):
                 rig = Rig(peer.port, max_connections=3)
                 rig.servers.apply_settings(replace(FAST, handshake_price=price), 60_000_000, 3)
@@ -311,7 +311,7 @@
 
 def test_no_connection_is_opened_to_a_draining_server() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.servers.update(listed(peer.port, State.DRAINING), False)
             rig.send()
@@ -323,38 +323,38 @@
 
 def test_an_attempt_at_a_removed_server_may_finish_and_idle_connections_close() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             rig.servers.update([], True)  # a full list without it: it is gone
             writer.write(OK)
             assert await rig.end() == (1, Result.OK)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_a_connection_carries_one_attempt_at_a_time_and_is_used_again() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             rig.send()
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             assert first is not second
             second.write(OK)
             assert await rig.end() == (2, Result.OK)
             rig.send()
-            assert (await peer.hear())[0] is second
+            assert (await peer.receive())[0] is second
 
     run(scenario)
 
 
 def test_an_idle_connection_is_closed_before_the_server_closes_it() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(OK)
@@ -363,7 +363,7 @@
             for passed, reused in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
                 rig.servers.close_idle(now + passed)
                 rig.send()
-                writer, data = await peer.hear()
+                writer, data = await peer.receive()
                 assert (data != b"") is reused
                 if reused:
                     writer.write(OK)
@@ -374,23 +374,23 @@
 
 def test_a_restarted_server_gets_new_connections() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(OK)
             await rig.end()
             rig.servers.update(listed(peer.port, started=7), False)
-            assert (await peer.hear())[1] == b""
+            assert (await peer.receive())[1] == b""
 
     run(scenario)
 
 
 def test_the_number_of_connections_is_limited() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port, max_connections=1)
             rig.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             rig.send()
             assert await rig.end() == (2, Result.NOT_SENT)
             writer.write(OK)
@@ -404,25 +404,25 @@
     # Detects hosts that have vanished: their open connections stay silent, and end as resets later.
     # A single timeout is more often mere slowness, and a new connection costs the server work.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             for _ in range(3):
                 rig.send()
-            received = [await peer.hear() for _ in range(3)]
+            received = [await peer.receive() for _ in range(3)]
             for writer, _ in received:
                 writer.write(OK)
             for _ in range(3):
                 await rig.end()
             for _ in range(silent):
                 attempt = rig.send()
-                assert (await peer.hear())[1] != b""
+                assert (await peer.receive())[1] != b""
                 rig.servers.cancel(attempt)
                 assert await rig.end() == (attempt.request, Result.CANCELLED)
-                assert (await peer.hear())[1] == b""
+                assert (await peer.receive())[1] == b""
             if silent == 2:
-                assert (await peer.hear())[1] == b""  # the third one, which was idle
+                assert (await peer.receive())[1] == b""  # the third one, which was idle
             rig.send()
-            writer, data = await peer.hear()
+            writer, data = await peer.receive()
             assert data != b""
             assert (writer in [w for w, _ in received]) is (silent == 1)
 
@@ -431,19 +431,19 @@
 
 def test_idle_connections_are_kept_after_a_timeout_at_a_server_that_answers_others() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             slow = rig.send()
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             first.write(OK)
             assert await rig.end() == (1, Result.OK)
             rig.servers.cancel(slow)
             assert await rig.end() == (2, Result.CANCELLED)
-            assert (await peer.hear()) == (second, b"")
+            assert (await peer.receive()) == (second, b"")
             rig.send()
-            assert (await peer.hear())[0] is first
+            assert (await peer.receive())[0] is first
 
     run(scenario)
 
@@ -452,7 +452,7 @@
     # The transport drops a write on a closing connection: the request would never leave, but count as a
     # reset, and one that is not repeatable could not be retried.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
             await peer.answer(OK)
@@ -460,7 +460,7 @@
             for transport in rig.transports():
                 transport.close()
             rig.send(size=12)
-            while (received := (await peer.hear())[1]) == b"":
+            while (received := (await peer.receive())[1]) == b"":
                 pass
             peer.writers[-1].write(OK)
             assert received == resp(b"CALL.GET", b"x" * 12)
@@ -474,17 +474,17 @@
 ) -> None:
     # A duplicated answer may arrive in a later read, when the connection could carry another attempt.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            first, _ = await peer.hear()
+            first, _ = await peer.receive()
             first.write(OK)
             await rig.end()
             rig.send()  # the reuse delay of the first connection is not over
-            second, _ = await peer.hear()
+            second, _ = await peer.receive()
             assert second is not first
             first.write(OK)
-            assert (await peer.hear()) == (first, b"")
+            assert (await peer.receive()) == (first, b"")
             second.write(OK.replace(b"value", b"other"))
             assert (await rig.engine.ended.get())[2] == b"other"
 
@@ -516,14 +516,14 @@
 
 def test_a_connection_to_a_server_before_its_restart_is_not_used() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             rig.servers.update(listed(peer.port, started=7), False)
             writer.write(OK)
             assert await rig.end() == (1, Result.OK)
-            assert await peer.hear() == (writer, b"")
+            assert await peer.receive() == (writer, b"")
 
     run(scenario)
 
@@ -531,10 +531,10 @@
 def test_a_server_that_is_gone_is_removed_when_no_attempt_is_active() -> None:
     # Prevents a memory leak: servers are replaced all day under new names.
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             rig.send()
-            writer, _ = await peer.hear()
+            writer, _ = await peer.receive()
             rig.servers.update(listed(peer.port, State.GONE), False)
             rig.servers._sweep()
             assert set(rig.servers._pools) == {"s-1"}
@@ -591,14 +591,14 @@
 
 def test_a_request_that_is_not_repeatable_takes_a_new_connection_if_idle_ones_were_reset() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             rig = Rig(peer.port)
             for _ in range(3):  # each connection is reset at its second request
                 rig.send()
                 writer = await answer_next(peer, OK)
                 await rig.end()
                 rig.send()
-                while not (again := await peer.hear())[1]:
+                while not (again := await peer.receive())[1]:
                     pass
                 assert again[0] is writer
                 writer.transport.abort()
@@ -613,9 +613,9 @@
     run(scenario)
 
 
-async def answer_next(peer: Peer, answer: bytes) -> asyncio.StreamWriter:
+async def answer_next(peer: ScriptedServer, answer: bytes) -> asyncio.StreamWriter:
     """Answer the next command."""
-    while not (message := await peer.hear())[1]:
+    while not (message := await peer.receive())[1]:
         pass
     message[0].write(answer)
     return message[0]
--- a/tests/test_without_counter.py
+++ b/tests/test_without_counter.py
@@ -10,7 +10,7 @@
 from mothgap import interface as api
 from mothgap.interface import Limits, ListKind, Plan, Result, Send
 from tests.helpers import CUSTOMER, SECOND, SETTINGS, Driver, action_names, ready_server
-from tests.net import Peer, call
+from tests.net import ScriptedServer, call
 from tests.test_engine import Streams, run_scenario
 
 WITHOUT_COUNTER = replace(SETTINGS, counter=None, limits=Limits(max_attempts=2))
@@ -71,7 +71,7 @@
             yield api.Count(5, -1.0, SECOND)
             yield api.Refuse(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Streams) -> None:
+    async def scenario(engine: Engine, peer: ScriptedServer, ends: Streams) -> None:
         engine.counter = None
         reader, writer = ends
         writer.write(call(1))
