--- a/lynxreel/links/__init__.py
+++ b/lynxreel/links/__init__.py
@@ -1,1 +1,1 @@
-"""What instances of a fleet tell each other: who they are, who is up, lost and dead, and bounded messages."""
+"""Links between the instances of a fleet: identity, liveness of each peer, and bounded message queues."""
--- a/lynxreel/links/incarnation.py
+++ b/lynxreel/links/incarnation.py
@@ -1,4 +1,4 @@
-"""The number of an instance's life: it only grows, whatever the clock says."""
+"""The incarnation number of an instance: it grows with every start, even if the clock goes back."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 def next_incarnation(folder: Path) -> int:
-    """A greater one than any before in this folder, written down; the lock of the folder is the caller's.
+    """Writes and returns a number greater than any before in this folder; the caller holds the folder's lock.
 
-    Raises an OSError where it can't be written: without a number of its own a life could pass for another.
+    Raises OSError if it can't be written: without a number of its own, a process could be taken for an
+    earlier one.
     """
     path = folder / FILE
     try:
--- a/lynxreel/links/peers.py
+++ b/lynxreel/links/peers.py
@@ -1,10 +1,10 @@
-"""Which instances are up, lost and dead, without I/O: what links tell goes in, what follows comes out.
+"""Tracks which instances are up, lost or dead. No I/O: events of the links go in, changes of state come out.
 
-Each instance keeps a link to each other one, on which it speaks; what it hears comes on theirs. An instance
-is an incarnation of a name: a number that grows with every start. It is DEAD for certain where its address
-refuses a connect that began after that incarnation had been met, as a process listens there from before its
-first word until its end, or where a later incarnation is met. Everything else is silence: the link is LOST,
-and nothing is known.
+Each instance keeps a link to each other one, on which it sends; it receives on the links that the others
+opened. A process is an incarnation of an instance's name, with a number that grows at every start. An
+incarnation is certainly DEAD if its address refuses a connect that began after it had said Hello, since a
+process listens there from before its first message until its end, or if a later incarnation says Hello.
+Everything else is only silence: the link is LOST, and the instance may be alive or dead.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class State(Enum):
-    """What is known of an instance."""
+    """What is known about an instance."""
 
-    UNMET = "unmet"
+    UNMET = "unmet"  # has not said Hello yet
     UP = "up"
     LOST = "lost"
-    DEAD = "dead"  # or was never there
+    DEAD = "dead"  # or was never started
 
 
 @dataclass(frozen=True, slots=True)
 class Up:
-    """It can be told something. Of what was told before the link came up, some may not have arrived."""
+    """The instance can be sent messages. Some that were sent before the link came up may not have arrived."""
 
     name: str
     incarnation: int
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """It can't be told anything now, and may live."""
+    """The instance can't be sent messages now, and may be alive."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Dead:
-    """This incarnation, and each before it, will never do anything any more."""
+    """This incarnation and each earlier one have ended."""
 
     name: str
     incarnation: int
@@ -52,42 +52,46 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One other instance."""
+    """The state of one other instance."""
 
     state: State = State.UNMET
-    incarnation: int = 0  # the latest that was met
-    dead: int = 0  # the latest that is known to be dead
+    incarnation: int = 0  # the latest that said Hello
+    dead: int = 0  # the latest that is known to have ended
 
 
 class Peers:
-    """All the others, by name."""
+    """The states of all other instances, by name."""
 
     def __init__(self, names: Iterable[str]) -> None:
         self.peers = {name: Peer() for name in names}
 
     def up(self) -> list[str]:
-        """Those that can be told something."""
+        """Returns the names of the instances that can be sent messages."""
         return [name for name, peer in self.peers.items() if peer.state is State.UP]
 
     def is_dead(self, name: str, incarnation: int) -> bool:
-        """Whether that incarnation is known to be dead."""
+        """Whether an incarnation is known to be dead."""
         peer = self.peers.get(name)
         return peer is not None and incarnation <= peer.dead
 
     def met(self, name: str, incarnation: int) -> tuple[bool, list[News]]:
-        """It has said who it is, on either link. False: an earlier one than is known, of no account."""
+        """Handles a Hello on either link.
+
+        Returns False for an unknown name, or a dead or outdated incarnation, whose link is to be rejected;
+        and the changes of state.
+        """
         peer = self.peers.get(name)
         if peer is None or incarnation < peer.incarnation or incarnation <= peer.dead:
             return False, []
         news: list[News] = []
         if 0 < peer.incarnation < incarnation:
-            news = self._died(name, peer, peer.incarnation)
+            news = self._mark_dead(name, peer, peer.incarnation)
             peer.state = State.LOST
         peer.incarnation = incarnation
         return True, news
 
     def linked(self, name: str, incarnation: int) -> tuple[bool, list[News]]:
-        """The link to it is up."""
+        """Handles the answered Hello on the link to an instance; returns as `met` does."""
         known, news = self.met(name, incarnation)
         if known:
             self.peers[name].state = State.UP
@@ -95,7 +99,7 @@
         return known, news
 
     def ended(self, name: str) -> list[News]:
-        """The link to it has ended, or what is said on it is not taken."""
+        """The link to an instance has ended, or its messages are no longer read."""
         peer = self.peers[name]
         if peer.state is not State.UP:
             return []
@@ -103,12 +107,12 @@
         return [Lost(name)]
 
     def refused(self, name: str, met: int) -> list[News]:
-        """A connect was refused; `met`: the latest incarnation that had been met when it began."""
+        """Handles a refused connect; `met` is the latest incarnation known when the connect began."""
         peer = self.peers[name]
         if met < peer.incarnation or peer.state is State.DEAD:
             return []
-        return self._died(name, peer, met)
+        return self._mark_dead(name, peer, met)
 
-    def _died(self, name: str, peer: Peer, incarnation: int) -> list[News]:
+    def _mark_dead(self, name: str, peer: Peer, incarnation: int) -> list[News]:
         peer.dead, peer.state = incarnation, State.DEAD
         return [Dead(name, incarnation)]
--- a/lynxreel/links/rank.py
+++ b/lynxreel/links/rank.py
@@ -1,8 +1,8 @@
-"""Where a name belongs among instances, by rendezvous hashing. No I/O.
+"""Assigns names to instances by rendezvous hashing. No I/O.
 
-Every instance works out the same order for a name, and where one goes, only what was first there moves.
-Names are sorted into a number of buckets first, whose orders are remembered: a look costs no hash for each
-instance.
+Every instance computes the same order of instances for a name; when one leaves, only the names that it was
+first for move. Names are hashed into buckets, and each bucket's order is cached, so a lookup does not compute
+a hash for each instance.
 """
 
 from __future__ import annotations
@@ -15,44 +15,51 @@
 
 
 class Ranks:
-    """The orders of a fleet's instances. `zones` has the zone of each, by name; `hosts` its machine."""
+    """The orders of a fleet's instances. `zones` has the zone of each by name, `hosts` its machine."""
 
     def __init__(self, zones: Mapping[str, str], hosts: Mapping[str, str] | None = None) -> None:
-        """Without `hosts` each has a machine of its own."""
+        """Without `hosts`, each instance counts as being on a machine of its own."""
         self.zones = dict(zones)
         self.hosts = dict(hosts) if hosts is not None else {name: name for name in zones}
         self._orders: dict[int, tuple[str, ...]] = {}
 
     def order(self, name: bytes) -> tuple[str, ...]:
-        """All instances, the one to which the name belongs first."""
+        """Returns all instances, ordered by rank for the name."""
         bucket = zlib.crc32(name) % BUCKETS
-        found = self._orders.get(bucket)
-        if found is None:
-            found = self._orders[bucket] = tuple(sorted(self.zones, key=lambda one: _weight(one, bucket)))
-        return found
+        order = self._orders.get(bucket)
+        if order is None:
+            order = self._orders[bucket] = tuple(
+                sorted(self.zones, key=lambda instance: _weight(instance, bucket))
+            )
+        return order
 
     def keeper(self, name: bytes, owner: str, up: Iterable[str]) -> str | None:
-        """Who keeps what `owner` has under a name: the first that is up, as far away as there is one."""
-        there, near, nearest = set(up), None, None
-        for one in self.order(name):
-            if one == owner or one not in there:
+        """Returns the keeper of what `owner` has under a name, None if no other instance is up.
+
+        It is the first by rank that is up in another zone, else on another machine, else anywhere.
+        """
+        up_names, same_zone, same_host = set(up), None, None
+        for instance in self.order(name):
+            if instance == owner or instance not in up_names:
                 continue
-            if self.zones[one] != self.zones[owner]:
-                return one
-            if self.hosts[one] != self.hosts[owner]:
-                near = near or one
-            nearest = nearest or one
-        return near or nearest
+            if self.zones[instance] != self.zones[owner]:
+                return instance
+            if self.hosts[instance] != self.hosts[owner]:
+                same_zone = same_zone or instance
+            same_host = same_host or instance
+        return same_zone or same_host
 
-    def likely(self, name: bytes, gone: Container[str] = ()) -> list[str]:
-        """Who keeps it, whoever owns it, while all but `gone` are up.
+    def likely(self, name: bytes, excluded: Container[str] = ()) -> list[str]:
+        """Returns who may be the keeper of a name, for any owner, if all instances but `excluded` are up.
 
-        The first two, the first of each zone, and the first of another machine than the very first.
+        These are the first two, the first of each zone, and the first on another machine than the very first.
         """
-        order = [one for one in self.order(name) if one not in gone]
-        firsts = {self.zones[one]: one for one in reversed(order)}
-        elsewhere = next((one for one in order if self.hosts[one] != self.hosts[order[0]]), None)
-        return [one for one in order if one in order[:2] or one in (elsewhere, firsts[self.zones[one]])]
+        order = [instance for instance in self.order(name) if instance not in excluded]
+        first_of_zone = {self.zones[instance]: instance for instance in reversed(order)}
+        other_host = next((one for one in order if self.hosts[one] != self.hosts[order[0]]), None)
+        return [
+            one for one in order if one in order[:2] or one in (other_host, first_of_zone[self.zones[one]])
+        ]
 
 
 def _weight(instance: str, bucket: int) -> bytes:
