--- a/lynxreel/zones/__init__.py
+++ b/lynxreel/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving a zone that fails, as a fleet and not one by one, and coming back to it."""
+"""The decision, common to a fleet, to stop using a zone that fails, and to return to it."""
--- a/lynxreel/zones/member.py
+++ b/lynxreel/zones/member.py
@@ -1,7 +1,7 @@
-"""One instance's part in leaving zones: what it tells, looks up, writes and uses, and when. No I/O.
+"""One instance's part in the zone decision: what it reports, reads, writes and applies, and when. No I/O.
 
-Events go in, with the time; a list of actions comes out, in the order in which they are to be done. The store
-is asked by one action at a time: `stored` follows each `Ask`.
+Each event method takes the time and returns a list of actions, to be carried out in order. There is one store
+request at a time: the caller answers each `Ask` by a call of `stored`.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 from lynxreel.zones.word import Follower, Report, Stage, Witness, Word, following, seen, share
 from mothgap.interface import Result
 
-USE = 100  # milliseconds between looks at what is out
-SMOOTH = 0.2  # of what a look finds
-AGAIN = 1_000  # milliseconds after which a report is told again, and the store is read
-ORDERED = 5_000  # milliseconds for which an operator's order is tried: later it would surprise
-TURN = 30  # milliseconds that each instance leaves to the ones before it to write the next word
-DOUBT = 10_000  # milliseconds for which nothing is read at the word of one who told what the store had not
+USE = 100  # milliseconds between samples of the open attempts
+USAGE_SMOOTHING = 0.2  # weight of a new sample in the exponential average of the open attempts
+REPEAT_MS = 1_000  # milliseconds after which a report is sent again, and the store is read
+ORDERED = 5_000  # milliseconds after which an unwritten operator's order is dropped: later it would surprise
+WRITE_TURN_MS = 30  # milliseconds that each instance leaves to every one before it to write the next decision
+# Milliseconds for which an instance's decisions cause no read, after it sent one that the store did not have.
+DOUBT = 10_000
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True, tag="word"):
-    """The word, as an instance knows it."""
+    """The decision that the sender follows."""
 
     word: Word
 
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """Tell others."""
+    """Send a message to these instances."""
 
     to: tuple[str, ...]
     message: Report | Told
@@ -43,22 +44,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Put a word in place of the one before it, or only read the one that stands."""
+    """Replace the decision in the store by `follows`; without it, only read the store."""
 
     follows: Word | None = None
-    lost: bool = False  # the store has lost it: it is put back
+    lost: bool = False  # the store has lost the decision: it is restored
 
 
 @dataclass(frozen=True, slots=True)
 class Use:
-    """Use these parts of zones, and all of the others."""
+    """Use these fractions of the named zones, and all of the others."""
 
     parts: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Ahead:
-    """Open so many connections to these boxes before they are wanted."""
+    """Open this many connections to these boxes before requests need them."""
 
     boxes: tuple[str, ...]
     count: int
@@ -66,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A line for the operators."""
+    """Write a log line."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the records: what a zone's word has become."""
+    """Write an entry to the records: the new state of a zone."""
 
     content: Mapping[str, Any]
 
@@ -82,66 +83,77 @@
 
 
 class Member:
-    """An instance of the fleet. Times are milliseconds of its own clock; `at` is its Unix time, in words."""
+    """An instance of the fleet.
+
+    `now` is milliseconds of its monotonic clock, `at` milliseconds of its Unix time, written into decisions.
+    """
 
     def __init__(
-        self, name: str, places: Mapping[str, str], terms: words.Terms, eyes: evidence.Terms, now: int
+        self,
+        name: str,
+        places: Mapping[str, str],
+        settings: words.Terms,
+        evidence_settings: evidence.Terms,
+        now: int,
     ) -> None:
-        """`places`: the zone of each instance of the fleet, this one's among them."""
-        self.name, self.zone, self._places, self._terms = name, places[name], dict(places), terms
+        """`places` has the zone of each instance of the fleet, this one included."""
+        self.name, self.zone, self._places, self._settings = name, places[name], dict(places), settings
         self._ranks = Ranks(places)
-        self.evidence = Evidence(eyes)
+        self.evidence = Evidence(evidence_settings)
         self.boxes: dict[str, str] = {}
-        self.follower = Follower(terms, heard_at=now)
+        self.follower = Follower(settings, heard_at=now)
         self.parts: dict[str, float] = {}
-        self.out = False  # of touch
+        self.out = False  # contact was lost for so long that the decision no longer applies
         self._reports: dict[str, Witness] = {}
-        self._load: dict[str, tuple[float, float]] = {}  # by zone: attempts out, and how many may be
-        self._told_at = self._read_at = self._taken_at = self._used_at = 0
-        self._gone_at = now  # when what is said was last gone through
-        self._stirred = True  # somebody says something else since then
-        self._due: dict[int, int] = {}  # when the word that follows an epoch is to be written by this one
-        self._hands: dict[str, str] = {}  # operators' orders that have not been written yet
-        self._hands_until = 0
-        self._prompts: dict[str, int] = {}  # epochs that others told of, and that are not known here
-        self._asked: dict[str, int] = {}  # those of them that the store is being asked for
-        self._doubted: dict[str, int] = {}  # until when nothing is read at their word
-        self._asking: Ask | None = None
-        self.away = False  # the store did not answer when it was asked last
+        self._usage: dict[str, tuple[float, float]] = {}  # by zone: open attempts, and how many may be
+        self._reported_at = self._read_at = self._adopted_at = self._sampled_at = 0
+        self._evaluated_at = now  # when the next decision was last computed
+        self._inputs_changed = True  # or peers, boxes or orders, since then
+        self._due: dict[int, int] = {}  # by epoch: when this instance writes the decision that follows it
+        self._orders: dict[str, str] = {}  # operators' orders by zone that have not been written yet
+        self._orders_until = 0
+        self._claimed: dict[str, int] = {}  # later epochs that others sent, not yet read from the store
+        self._checking: dict[str, int] = {}  # those of them that the open store request will check
+        self._distrusted: dict[str, int] = {}  # by instance: until when its decisions cause no read
+        self._open_request: Ask | None = None
+        self.away = False  # the store did not answer the last request
         self._up: tuple[str, ...] = ()
         self._dead: tuple[str, ...] = ()
 
-    # --- what is seen -----------------------------------------------------------------------------------
+    # --- observations -----------------------------------------------------------------------------------
 
     def listed(self, boxes: Mapping[str, str]) -> None:
-        """The boxes that may be used, each with its zone."""
-        self.boxes, self._stirred = dict(boxes), True
+        """Sets the boxes that may be used, as a map of box name to zone."""
+        self.boxes, self._inputs_changed = dict(boxes), True
         self.evidence.listed(self.boxes)
 
     def ended(self, now: int, box: str, result: Result) -> None:
-        """An attempt at a box has ended."""
+        """Records the result of an attempt at a box."""
         self.evidence.ended(now * 1_000, box, result)
 
     def wants_use(self, now: int) -> bool:
-        """Whether `look` is to be told what is out."""
-        return now - self._used_at >= USE
+        """Whether the next call of `look` should pass the usage of the zones."""
+        return now - self._sampled_at >= USE
 
     def look(self, now: int, at: int, use: Mapping[str, tuple[float, float]] | None = None) -> list[Action]:
-        """Some time has passed. `use`: attempts out in each zone, and how many its boxes bear of this one."""
+        """Does the periodic work: reports, reads the store, and writes the next decision when it is due.
+
+        `use` has by zone the open attempts, and how many its boxes would take from this instance.
+        """
         actions = list[Action]()
         if use is not None:
-            self._used_at = now
-            for zone, (out, bears) in use.items():
-                before = self._load.get(zone, (out, bears))
-                self._load[zone] = (before[0] + SMOOTH * (out - before[0]), bears)
+            self._sampled_at = now
+            for zone, (attempts, capacity) in use.items():
+                before = self._usage.get(zone, (attempts, capacity))
+                self._usage[zone] = (before[0] + USAGE_SMOOTHING * (attempts - before[0]), capacity)
         self._report(now, actions)
-        self._look_up(now, actions)
-        if self._hands and now > self._hands_until:
-            late = [zone for zone, hand in self._hands.items() if hand != self.follower.word.of(zone).hand]
+        self._read_store(now, actions)
+        if self._orders and now > self._orders_until:
+            late = [zone for zone, order in self._orders.items() if order != self.follower.word.of(zone).hand]
             if late:
                 actions.append(Line(f"orders on zones {', '.join(late)} could not be written in time"))
-            self._hands.clear()
-        self._go_on(now, at, actions)
+            self._orders.clear()
+        self._advance(now, at, actions)
         if self.follower.lost(now) is not self.out:
             self.out = not self.out
             lost = "neither the store of the word on zones nor another instance is heard: it counts no more"
@@ -153,190 +165,210 @@
         found = self.evidence.verdicts(now * 1_000)
         blind = self.evidence.blind(now * 1_000)
         verdicts = {zone: int(verdict) for zone, verdict in found.items()}
-        use = {zone: (round(out, 2), round(bears, 2)) for zone, (out, bears) in self._load.items()}
-        eyes = self.evidence.since(now * 1_000)
-        since = {zone: (without // 1_000, failing // 1_000) for zone, (without, failing) in eyes.items()}
-        report = Report(verdicts, blind, self.follower.word.epoch, use, since)
-        if self._witnessed(self.name, self.zone, report, now) or now - self._told_at >= AGAIN:
-            self._told_at = now
+        usage = {zone: (round(out, 2), round(most, 2)) for zone, (out, most) in self._usage.items()}
+        outages = self.evidence.since(now * 1_000)
+        outage_ms = {zone: (silent // 1_000, failing // 1_000) for zone, (silent, failing) in outages.items()}
+        report = Report(verdicts, blind, self.follower.word.epoch, usage, outage_ms)
+        if self._keep_report(self.name, self.zone, report, now) or now - self._reported_at >= REPEAT_MS:
+            self._reported_at = now
             actions.append(Say(self._up, report))
 
-    def _witnessed(self, name: str, zone: str, report: Report, now: int) -> bool:
-        """An instance's report as it is now; whether it says something else than before."""
+    def _keep_report(self, name: str, zone: str, report: Report, now: int) -> bool:
+        """Keeps an instance's latest report; returns whether its verdicts, blindness or epoch changed."""
         before = self._reports.get(name)
         self._reports[name] = Witness(zone, report, now)
-        said = (report.verdicts, report.blind, report.epoch)
-        other = before is None or said != (before.report.verdicts, before.report.blind, before.report.epoch)
-        self._stirred |= other
-        return other
+        content = (report.verdicts, report.blind, report.epoch)
+        changed = before is None or content != (
+            before.report.verdicts,
+            before.report.blind,
+            before.report.epoch,
+        )
+        self._inputs_changed |= changed
+        return changed
 
     def said(self, now: int, load: bool = True) -> dict[str, words.Seen]:
-        """What the witnesses say of each zone. `load`: of what is out there, too."""
-        given = self.follower.word, self._places, self._dead, self._reports, now, self._terms, load
+        """Returns the counted reports by zone. `load`: with open attempts and spare capacity."""
+        given = self.follower.word, self._places, self._dead, self._reports, now, self._settings, load
         return {zone: seen(zone, *given) for zone in sorted({*self.boxes.values()})}
 
-    # --- the word ---------------------------------------------------------------------------------------
+    # --- the decision -----------------------------------------------------------------------------------
 
-    def _look_up(self, now: int, actions: list[Action]) -> None:
-        """Read the store now and then; at once where another instance tells of a later word."""
-        if now - self._read_at >= AGAIN and self._asking is None:
+    def _read_store(self, now: int, actions: list[Action]) -> None:
+        """Reads the store if it was not read for REPEAT_MS, unless a request is open."""
+        if now - self._read_at >= REPEAT_MS and self._open_request is None:
             self._read_at = now
             self._ask(Ask(), actions)
 
-    def _go_on(self, now: int, at: int, actions: list[Action]) -> None:
-        """Write the next word if one follows, and it is this instance's turn."""
+    def _advance(self, now: int, at: int, actions: list[Action]) -> None:
+        """Writes the next decision if there is one, and it is this instance's turn."""
         epoch, zones = self.follower.word.epoch, self.follower.word.zones.values()
-        calm = not self._stirred and all(zone.stage is Stage.IN_USE and not zone.hand for zone in zones)
-        if calm and now - self._gone_at < AGAIN:
-            return  # what everybody says of every zone is the same as when it was last gone through
-        self._stirred, self._gone_at = False, now
-        orders = [*self._hands.values(), *(zone.hand for zone in zones)]
-        said = self.said(now, words.LEAVE in orders)
-        follows = following(self.follower, said, now, at, self.name, self._hands)
+        idle = not self._inputs_changed and all(
+            zone.stage is Stage.IN_USE and not zone.hand for zone in zones
+        )
+        if idle and now - self._evaluated_at < REPEAT_MS:
+            return  # nothing has changed since the last evaluation
+        self._inputs_changed, self._evaluated_at = False, now
+        orders = [*self._orders.values(), *(zone.hand for zone in zones)]
+        tallies = self.said(now, words.LEAVE in orders)
+        follows = following(self.follower, tallies, now, at, self.name, self._orders)
         if follows is not None:
-            self._stirred = True
+            self._inputs_changed = True
         if follows is None:
             self._due.clear()
         elif epoch not in self._due:
             up = {self.name, *self._up}
-            place = [name for name in self._ranks.order(b"word") if name in up].index(self.name)
-            self._due = {epoch: now + (0 if self._hands else TURN * place)}
-        elif now >= self._due[epoch] and self._asking is None:
-            self._due[epoch] = now + AGAIN
+            rank = [name for name in self._ranks.order(b"word") if name in up].index(self.name)
+            self._due = {epoch: now + (0 if self._orders else WRITE_TURN_MS * rank)}
+        elif now >= self._due[epoch] and self._open_request is None:
+            self._due[epoch] = now + REPEAT_MS
             self._ask(Ask(follows), actions)
 
-    def _ask(self, asked: Ask, actions: list[Action]) -> None:
-        self._asking, self._asked, self._prompts = asked, self._prompts, {}
-        actions.append(asked)
+    def _ask(self, request: Ask, actions: list[Action]) -> None:
+        self._open_request, self._checking, self._claimed = request, self._claimed, {}
+        actions.append(request)
 
-    def stored(self, now: int, stands: Word | None) -> list[Action]:
-        """What the store has answered, None where nothing could be had; it can be asked again."""
+    def stored(self, now: int, in_store: Word | None) -> list[Action]:
+        """Handles the answer to the open store request: the stored decision, or None if the store failed."""
         actions = list[Action]()
-        asked, self._asking = self._asking, None
+        request, self._open_request = self._open_request, None
         known = self.follower.word
-        if stands is not None:
-            for name, epoch in self._asked.items():
-                if stands.epoch < epoch:
-                    lie = f"{name} tells epoch {epoch} of the word on zones, and the store has {stands.epoch}"
-                    actions.append(Line(lie))
-                    self._doubted[name] = now + DOUBT
-            if stands.epoch < known.epoch and not self.out and asked is not None and not asked.lost:
+        if in_store is not None:
+            for name, epoch in self._checking.items():
+                if in_store.epoch < epoch:
+                    claim = (
+                        f"{name} tells epoch {epoch} of the word on zones, and the store has {in_store.epoch}"
+                    )
+                    actions.append(Line(claim))
+                    self._distrusted[name] = now + DOUBT
+            if in_store.epoch < known.epoch and not self.out and request is not None and not request.lost:
                 actions.append(Line(f"the store has lost the word on zones: epoch {known.epoch} is put back"))
                 self._ask(Ask(known, lost=True), actions)
-            elif self._take(now, stands, actions) and asked is not None and stands == asked.follows:
-                actions.append(Say(self._up, Told(stands)))
+            elif self._adopt(now, in_store, actions) and request is not None and in_store == request.follows:
+                actions.append(Say(self._up, Told(in_store)))
         return actions
 
-    def _take(self, now: int, stands: Word, actions: list[Action]) -> bool:
-        """The word as the store has it; whether it is a later one."""
+    def _adopt(self, now: int, in_store: Word, actions: list[Action]) -> bool:
+        """Adopts the stored decision if it is a later one; returns whether it was."""
         before = self.follower.word
-        if not self.follower.hear(now, stands):
+        if not self.follower.hear(now, in_store):
             return False
-        self._taken(now, before, actions)
+        self._adopted(now, before, actions)
         return True
 
-    def _taken(self, now: int, before: Word, actions: list[Action]) -> None:
-        """Another word is gone by."""
-        stands, self._taken_at = self.follower.word, now
-        for zone, told in stands.zones.items():
-            if self._hands.get(zone) == told.hand:
-                del self._hands[zone]
-            if told == before.of(zone):
+    def _adopted(self, now: int, before: Word, actions: list[Action]) -> None:
+        """Acts on the change from the decision `before` to the one just adopted."""
+        current, self._adopted_at = self.follower.word, now
+        for zone, state in current.zones.items():
+            if self._orders.get(zone) == state.hand:
+                del self._orders[zone]
+            if state == before.of(zone):
                 continue
-            if told.stage is Stage.TRIAL:
+            if state.stage is Stage.TRIAL:
                 self.evidence.forget(zone)
-            if told.stage is Stage.LEAVING and before.of(zone).stage is Stage.IN_USE and zone != self.zone:
-                rest = [box for box, place in self.boxes.items() if stands.of(place).stage is Stage.IN_USE]
-                actions.append(Ahead(tuple(rest), math.ceil(self._load.get(zone, (0.0, 0.0))[0])))
-            said = f"zone {zone}: {told.stage.value}, step {told.step}, epoch {stands.epoch}: {told.why}"
-            actions.append(Line(said))
-            actions.append(Note({"zone": zone, "epoch": stands.epoch, **msgspec.to_builtins(told)}))
+            if state.stage is Stage.LEAVING and before.of(zone).stage is Stage.IN_USE and zone != self.zone:
+                rest = [box for box, place in self.boxes.items() if current.of(place).stage is Stage.IN_USE]
+                actions.append(Ahead(tuple(rest), math.ceil(self._usage.get(zone, (0.0, 0.0))[0])))
+            text = f"zone {zone}: {state.stage.value}, step {state.step}, epoch {current.epoch}: {state.why}"
+            actions.append(Line(text))
+            actions.append(Note({"zone": zone, "epoch": current.epoch, **msgspec.to_builtins(state)}))
         self._apply(actions)
 
     def _apply(self, actions: list[Action]) -> None:
-        """Have the module use of each zone what the word says."""
+        """Sets the fraction of each zone that this instance uses under the decision."""
         up = {self.name, *self._up}
         parts = dict[str, float]()
-        for zone, told in self.follower.word.zones.items():
+        for zone, state in self.follower.word.zones.items():
             if zone == self.zone or self.out:
                 continue
             order = [name for name in self._ranks.order(zone.encode()) if name in up]
             outside = [name for name in order if self._places[name] != zone]
-            part = share(told, outside.index(self.name), self._terms)
-            if part < 1.0:
-                parts[zone] = part
+            fraction = share(state, outside.index(self.name), self._settings)
+            if fraction < 1.0:
+                parts[zone] = fraction
         if parts != self.parts:
             self.parts = parts
             actions.append(Use(parts))
 
-    # --- the others -------------------------------------------------------------------------------------
+    # --- other instances --------------------------------------------------------------------------------
 
     def heard(self, now: int, name: str, message: Report | Told) -> list[Action]:
-        """Another instance has said something."""
+        """Handles a message from another instance."""
         actions = list[Action]()
-        word = self.follower.word
+        decision = self.follower.word
         if isinstance(message, Report):
-            self._witnessed(name, self._places[name], message, now)
+            self._keep_report(name, self._places[name], message, now)
             self.follower.hear(now, None)
-            if message.epoch < word.epoch and now - self._taken_at >= AGAIN:
-                actions.append(Say((name,), Told(word)))  # it may not hear the store
+            if message.epoch < decision.epoch and now - self._adopted_at >= REPEAT_MS:
+                actions.append(Say((name,), Told(decision)))  # the sender may not reach the store
         elif self.follower.tell(now, name, message.word, not self.away):
-            self._taken(now, word, actions)
-        elif message.word.epoch > word.epoch and now >= self._doubted.get(name, 0):
-            self._prompts[name], self._read_at = message.word.epoch, 0  # it counts as the store has it
-            self._look_up(now, actions)
+            self._adopted(now, decision, actions)
+        elif message.word.epoch > decision.epoch and now >= self._distrusted.get(name, 0):
+            self._claimed[name], self._read_at = message.word.epoch, 0  # only the stored one is adopted
+            self._read_store(now, actions)
         return actions
 
-    def known(self, up: Iterable[str], dead: Iterable[str], new: Collection[str] = ()) -> list[Action]:
-        """Which others can be told something, which are dead, and who of those up has just come up."""
-        self._up, self._dead, self._stirred = tuple(up), tuple(dead), True
+    def known(self, up: Iterable[str], dead: Iterable[str], joined: Collection[str] = ()) -> list[Action]:
+        """Sets which other instances are up, which are dead, and which of those up have just come up."""
+        self._up, self._dead, self._inputs_changed = tuple(up), tuple(dead), True
         actions = list[Action]()
-        if new:
+        if joined:
             if self.follower.word.epoch:
-                actions.append(Say(tuple(new), Told(self.follower.word)))
+                actions.append(Say(tuple(joined), Told(self.follower.word)))
             if (own := self._reports.get(self.name)) is not None:
-                actions.append(Say(tuple(new), own.report))
-        self._apply(actions)  # who tries a zone for all depends on who is up
+                actions.append(Say(tuple(joined), own.report))
+        self._apply(actions)  # which instances run a trial depends on who is up
         return actions
 
-    # --- the operators ----------------------------------------------------------------------------------
+    # --- operators --------------------------------------------------------------------------------------
 
     def told(self, now: int) -> dict[str, Any]:
-        """The word, what is seen, and what this instance uses of each zone."""
-        word = self.follower.word
+        """Returns the decision, and by zone this instance's verdict, the reports and the fraction in use."""
+        decision = self.follower.word
         verdicts = self.evidence.verdicts(now * 1_000)
         zones = dict[str, Any]()
-        for zone, said in self.said(now).items():
+        for zone, tally in self.said(now).items():
             zones[zone] = {
-                **msgspec.to_builtins(word.of(zone)), "here": self.parts.get(zone, 1.0),
+                **msgspec.to_builtins(decision.of(zone)), "here": self.parts.get(zone, 1.0),
                 "sees": verdicts.get(zone, Verdict.UNKNOWN).name.lower(),
-                "out": round(said.out, 1), "rest_bears": round(said.room, 1),
-                "expected": said.expected, "heard": said.heard, "bad": said.bad, "good": said.good,
+                "out": round(tally.open_attempts, 1), "rest_bears": round(tally.spare_capacity, 1),
+                "expected": tally.expected, "heard": tally.reporting, "bad": tally.bad, "good": tally.good,
                 "boxes": sum(place == zone for place in self.boxes.values()),
             }  # fmt: skip
-        touch = {"in_touch": not self.out, "store_ms": now - self.follower.heard_at}
-        return {"epoch": word.epoch, "writer": word.writer, "zone": self.zone, **touch, "zones": zones}
+        contact = {"in_touch": not self.out, "store_ms": now - self.follower.heard_at}
+        return {
+            "epoch": decision.epoch,
+            "writer": decision.writer,
+            "zone": self.zone,
+            **contact,
+            "zones": zones,
+        }
 
     def order(
         self, now: int, at: int, zone: str, order: str, dry: bool
     ) -> tuple[dict[str, Any], list[Action]]:
-        """An operator's word on a zone; what follows from it now, or would."""
-        said = self.said(now)
-        if zone not in said or order not in words.ORDERS:
+        """Takes an operator's order on a zone; returns what it changes now, or with `dry` would change.
+
+        An unknown zone or order is answered under the key "refused".
+        """
+        tallies = self.said(now)
+        if zone not in tallies or order not in words.ORDERS:
             return {"refused": f"no zone {zone!r} with boxes, or no order {order!r}"}, []
-        told = self.follower.word.of(zone)
-        moot = order == told.hand or (order == words.RETURN and told.stage is Stage.IN_USE)
-        # An order that is under way goes before what is known of the word.
-        hands = {} if moot and zone not in self._hands else {**self._hands, zone: order}
-        follows = following(self.follower, said, now, at, self.name, hands)
+        state = self.follower.word.of(zone)
+        no_effect = order == state.hand or (order == words.RETURN and state.stage is Stage.IN_USE)
+        # An order that is not written yet takes precedence over the one in the decision.
+        orders = {} if no_effect and zone not in self._orders else {**self._orders, zone: order}
+        follows = following(self.follower, tallies, now, at, self.name, orders)
         left = [box for box, place in self.boxes.items() if place != zone]
         after = msgspec.to_builtins(follows.of(zone)) if follows is not None else "nothing changes now"
-        bears = {"out": round(said[zone].out, 1), "rest_bears": round(said[zone].room, 1)}
-        would = {"follows": after, "boxes_left": len(left), "boxes": len(self.boxes), **bears}
+        capacity = {
+            "out": round(tallies[zone].open_attempts, 1),
+            "rest_bears": round(tallies[zone].spare_capacity, 1),
+        }
+        would = {"follows": after, "boxes_left": len(left), "boxes": len(self.boxes), **capacity}
         actions = list[Action]()
-        if hands and not dry:
-            self._hands, self._hands_until = hands, now + ORDERED
+        if orders and not dry:
+            self._orders, self._orders_until = orders, now + ORDERED
             self._due.clear()
-            self._stirred = True
-            self._go_on(now, at, actions)
+            self._inputs_changed = True
+            self._advance(now, at, actions)
         return would, actions
--- a/lynxreel/zones/shell.py
+++ b/lynxreel/zones/shell.py
@@ -1,4 +1,4 @@
-"""The shell round an instance's part in leaving zones: the engine's attempts, the links, the store."""
+"""Connects an instance's part in the zone decision to the engine, the other instances and the store."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from lynxreel.zones.word import Report, Word
 from mothgap.interface import ListKind, Members, Result, State as BoxState
 
-TICK = 0.05  # seconds between looks at what is seen
-STOOD = 0.3  # seconds that a look came late by: the loop stood still
-START = 0.5  # seconds that a start waits for the word
+TICK_SECONDS = 0.05
+STALL_SECONDS = 0.3  # a tick this late means that the event loop stalled
+START_TIMEOUT = 0.5  # seconds that a start waits for the stored decision
 
 
 @dataclass(frozen=True)
 class Plan:
-    """How a fleet leaves zones. `names`: the boxes' zones, by their numbers in the list."""
+    """Settings of the zone decision. `names` has the boxes' zones by their numbers in the list."""
 
     store: StorePlan
     names: dict[int, str]
@@ -36,74 +36,75 @@
 
 
 class Zones:
-    """One instance's part in it."""
+    """One instance's part in the zone decision."""
 
     def __init__(
         self, plan: Plan, engine: Engine, servers: Servers, mesh: Mesh, loop: asyncio.AbstractEventLoop
     ) -> None:
         self._plan, self._engine, self._servers, self._mesh, self._loop = plan, engine, servers, mesh, loop
-        engine.on_attempt_ended = self._ended
-        mesh.join((Report, Told), self._heard, self._news)
+        engine.on_attempt_ended = self._attempt_ended
+        mesh.join((Report, Told), self._receive, self._peers_changed)
         places = {place.name: place.zone for place in (mesh.own, *mesh.places.values())}
         self._member = Member(mesh.own.name, places, plan.terms, plan.evidence, self._now())
         self._store = Store(plan.store)
         self._numbers = {name: number for number, name in plan.names.items()}
         self._boxes: dict[str, str] = {}
-        self._asking: asyncio.Task[None] | None = None
+        self._requesting: asyncio.Task[None] | None = None
         self._ticking: asyncio.Task[None] | None = None
         self.note: Callable[[str, Mapping[str, Any]], None] = lambda kind, content: None  # for the records
 
     def _now(self) -> int:
-        """Milliseconds that run evenly."""
+        """Returns milliseconds of a monotonic clock."""
         return int(self._loop.time() * 1e3)
 
     async def open(self) -> None:
-        """Take the word that stands, or go on without where it can't be had now."""
+        """Adopts the stored decision, or starts without it if the store does not answer in START_TIMEOUT."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(START):
+            async with asyncio.timeout(START_TIMEOUT):
                 self._act(self._member.stored(self._now(), await self._store.read()))
         self._ticking = self._loop.create_task(self._tick())
 
     def close(self) -> None:
-        """The end of the process."""
-        for task in (self._asking, self._ticking):
+        """Ends the tasks and the connection to the store, at the end of the process."""
+        for task in (self._requesting, self._ticking):
             if task is not None:
                 task.cancel()
         self._store.close()
 
     def listed(self, members: Members) -> None:
-        """The list of boxes has changed."""
+        """Applies a change of the list of boxes."""
         if members.kind is not ListKind.CHANGES:
             self._boxes.clear()
-        for line in members.members:
-            if line.state is BoxState.READY and line.zone in self._plan.names:
-                self._boxes[line.server] = self._plan.names[line.zone]
+        for box in members.members:
+            if box.state is BoxState.READY and box.zone in self._plan.names:
+                self._boxes[box.server] = self._plan.names[box.zone]
             else:
-                self._boxes.pop(line.server, None)
+                self._boxes.pop(box.server, None)
         self._member.listed(self._boxes)
 
-    def _ended(self, box: str, result: Result) -> None:
+    def _attempt_ended(self, box: str, result: Result) -> None:
         self._member.ended(self._now(), box, result)
 
     async def _tick(self) -> None:
         while True:
-            due = self._loop.time() + TICK
-            await asyncio.sleep(TICK)
-            if self._loop.time() - due > STOOD:
+            due = self._loop.time() + TICK_SECONDS
+            await asyncio.sleep(TICK_SECONDS)
+            if self._loop.time() - due > STALL_SECONDS:
                 self._member.evidence.stood(self._now() * 1_000)
             now = self._now()
-            use = self._use() if self._member.wants_use(now) else None
-            self._act(self._member.look(now, self._unix(), use))
+            usage = self._usage() if self._member.wants_use(now) else None
+            self._act(self._member.look(now, self._unix_ms(), usage))
 
-    def _use(self) -> dict[str, tuple[float, float]]:
-        names, use = self._plan.names, self._engine.zone_usage()
-        return {names[number]: (out, bears) for number, (out, bears) in use.items() if number in names}
+    def _usage(self) -> dict[str, tuple[float, float]]:
+        """Returns by zone the open attempts, and how many its boxes would take."""
+        names, usage = self._plan.names, self._engine.zone_usage()
+        return {names[number]: (out, most) for number, (out, most) in usage.items() if number in names}
 
     @staticmethod
-    def _unix() -> int:
+    def _unix_ms() -> int:
         return time.time_ns() // 1_000_000
 
-    # --- what is to be done -----------------------------------------------------------------------------
+    # --- actions ----------------------------------------------------------------------------------------
 
     def _act(self, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -112,11 +113,11 @@
                     for name in action.to:
                         self._mesh.say(name, action.message)
                 case Ask():
-                    self._asking = self._loop.create_task(self._ask(action))
+                    self._requesting = self._loop.create_task(self._request(action))
                 case Use():
-                    known = {zone: part for zone, part in action.parts.items() if zone in self._numbers}
+                    known = {zone: share for zone, share in action.parts.items() if zone in self._numbers}
                     self._engine.set_zone_fractions(
-                        {self._numbers[zone]: part for zone, part in known.items()}
+                        {self._numbers[zone]: share for zone, share in known.items()}
                     )
                 case Ahead():
                     self._servers.preconnect(action.boxes, action.count)
@@ -125,34 +126,34 @@
                 case Note():
                     self.note("zone", action.content)
 
-    async def _ask(self, asked: Ask) -> None:
-        stands: Word | None
-        if asked.follows is None:
-            stands = await self._store.read()
+    async def _request(self, request: Ask) -> None:
+        in_store: Word | None
+        if request.follows is None:
+            in_store = await self._store.read()
         else:
-            stands = await (self._store.restore if asked.lost else self._store.replace)(asked.follows)
+            in_store = await (self._store.restore if request.lost else self._store.replace)(request.follows)
         self._member.away = self._store.away
-        self._act(self._member.stored(self._now(), stands))
+        self._act(self._member.stored(self._now(), in_store))
 
-    # --- the links --------------------------------------------------------------------------------------
+    # --- other instances --------------------------------------------------------------------------------
 
-    def _heard(self, name: str, incarnation: int, message: Any) -> None:
+    def _receive(self, name: str, incarnation: int, message: Any) -> None:
         self._act(self._member.heard(self._now(), name, message))
 
-    def _news(self, news: Iterable[News]) -> None:
-        new = [item.name for item in news if isinstance(item, Up)]
+    def _peers_changed(self, news: Iterable[News]) -> None:
+        joined = [item.name for item in news if isinstance(item, Up)]
         peers = self._mesh.peers
         dead = [name for name, peer in peers.peers.items() if peer.state is State.DEAD]
-        self._act(self._member.known(peers.up(), dead, new))
+        self._act(self._member.known(peers.up(), dead, joined))
 
-    # --- the operators ----------------------------------------------------------------------------------
+    # --- operators --------------------------------------------------------------------------------------
 
     def told(self) -> dict[str, Any]:
-        """The word, what is seen, and what this instance uses of each zone."""
+        """Returns the decision, and by zone this instance's verdict, the reports and the fraction in use."""
         return self._member.told(self._now())
 
     def order(self, zone: str, order: str, dry: bool) -> dict[str, Any]:
-        """An operator's word on a zone; what follows from it now, or would."""
-        would, actions = self._member.order(self._now(), self._unix(), zone, order, dry)
+        """Takes an operator's order on a zone; returns what it changes now, or with `dry` would change."""
+        would, actions = self._member.order(self._now(), self._unix_ms(), zone, order, dry)
         self._act(actions)
         return would
--- a/lynxreel/zones/store.py
+++ b/lynxreel/zones/store.py
@@ -1,4 +1,4 @@
-"""Where the fleet's word is kept: one key in etcd, which is only ever replaced by a compare-and-set."""
+"""Stores the fleet's zone decision: one key in etcd, which is only ever replaced by a compare-and-set."""
 
 from __future__ import annotations
 
@@ -14,72 +14,72 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A cluster, and the key of the word there."""
+    """The etcd cluster, and the key of the decision."""
 
     etcd: Options
     key: str
 
 
 class Store:
-    """Reads and replaces the word."""
+    """Reads and replaces the decision."""
 
     def __init__(self, plan: Plan) -> None:
         self._client, self._key = Client(plan.etcd), plan.key.encode()
-        self._known = 0, 0  # the word's epoch as it was last read, and the key's revision then
-        self.away = False
+        self._last_read = 0, 0  # the decision's epoch and the key's revision at the last read
+        self.away = False  # the last request failed
 
     async def read(self) -> Word | None:
-        """The word that stands; None where it can't be had now."""
+        """Returns the stored decision, or None if the request failed."""
         return await self._transact(pb.TxnRequest(success=[self._range()]))
 
-    async def restore(self, word: Word) -> Word | None:
-        """Put the word that the fleet goes by where the store has lost it; what stands then."""
-        return await self._put(word)
+    async def restore(self, decision: Word) -> Word | None:
+        """Writes back the decision that the store has lost; returns what is stored then, None on failure."""
+        return await self._put(decision)
 
-    async def replace(self, word: Word) -> Word | None:
-        """Put a word in place of the one before it; what stands then, None where that can't be known.
+    async def replace(self, decision: Word) -> Word | None:
+        """Replaces the stored decision by the next one; returns what is stored then, None on failure.
 
-        Where another one has been written meanwhile, that one stands.
+        If another instance has written meanwhile, its decision is kept and returned.
         """
-        if not may_replace(self._known[0], word):
-            stands = await self.read()  # what it follows was told by another instance
-            if stands is None or not may_replace(self._known[0], word):
-                return stands
-        return await self._put(word)
-
-    async def _put(self, word: Word) -> Word | None:
-        _, revision = self._known
-        same = pb.Compare(
+        if not may_replace(self._last_read[0], decision):
+            in_store = await self.read()  # the decision before it came from another instance
+            if in_store is None or not may_replace(self._last_read[0], decision):
+                return in_store
+        return await self._put(decision)
+
+    async def _put(self, decision: Word) -> Word | None:
+        _, revision = self._last_read
+        unchanged = pb.Compare(
             key=self._key, target=pb.Compare.MOD, result=pb.Compare.EQUAL, mod_revision=revision
         )
-        put = pb.RequestOp(request_put=pb.PutRequest(key=self._key, value=msgspec.json.encode(word)))
-        asked = pb.TxnRequest(compare=[same], success=[put, self._range()], failure=[self._range()])
-        return await self._transact(asked)
+        put = pb.RequestOp(request_put=pb.PutRequest(key=self._key, value=msgspec.json.encode(decision)))
+        request = pb.TxnRequest(compare=[unchanged], success=[put, self._range()], failure=[self._range()])
+        return await self._transact(request)
 
     def _range(self) -> pb.RequestOp:
         return pb.RequestOp(request_range=pb.RangeRequest(key=self._key))
 
-    async def _transact(self, asked: pb.TxnRequest) -> Word | None:
+    async def _transact(self, request: pb.TxnRequest) -> Word | None:
         try:
-            done = await self._client.transact(asked)
-        except EtcdError as wrong:
+            response = await self._client.transact(request)
+        except EtcdError as error:
             if not self.away:
-                log(f"the fleet's word on zones can't be had: {wrong}")
+                log(f"the fleet's word on zones can't be had: {error}")
             self.away = True
             return None
         self.away = False
-        found = done.responses[-1].response_range.kvs
+        found = response.responses[-1].response_range.kvs
         if not found:
-            self._known = 0, 0
+            self._last_read = 0, 0
             return Word()
         try:
-            word = msgspec.json.decode(found[0].value, type=Word)
-        except msgspec.MsgspecError as wrong:
-            log(f"the fleet's word on zones can't be read: {wrong}")
+            decision = msgspec.json.decode(found[0].value, type=Word)
+        except msgspec.MsgspecError as error:
+            log(f"the fleet's word on zones can't be read: {error}")
             return None
-        self._known = word.epoch, found[0].mod_revision
-        return word
+        self._last_read = decision.epoch, found[0].mod_revision
+        return decision
 
     def close(self) -> None:
-        """The end of the process."""
+        """Closes the connection to etcd."""
         self._client.close()
--- a/lynxreel/zones/word.py
+++ b/lynxreel/zones/word.py
@@ -1,16 +1,18 @@
-"""The word that a fleet has in common about its zones, and the next one that follows from what is seen.
+"""The zone decision that all instances of a fleet share, and how the next one follows from their reports.
 
-No I/O. A word says of each zone how far it is in use, and has an epoch that only grows. Whoever may write
-puts the next one in place of the one that it knows, by one compare-and-set in the store; all others follow.
-So there is one writer at a time without a leader, and no two words have one epoch. `following` works out the
-next word from the reports of the witnesses; every instance comes to the same one, and one of them is first.
+No I/O. A decision holds the stage of each zone, that is how far the zone is in use, and an epoch that only
+grows. An instance replaces the decision that it knows by one compare-and-set in the store, and all others
+adopt the result. So there is one writer at a time without a leader, and no two decisions share an epoch.
+`following` computes the next decision from the reports of the witnesses; all instances compute the same one,
+and take turns to write it.
 
     IN_USE -> LEAVING (steps) -> AWAY -> TRIAL -> RETURNING (steps) -> IN_USE
-                                  ^---- faltered, rests for longer ----'
+                                  ^---- failed, rests for longer ------'
 
-A witness is an instance outside the zone whose report is fresh and not blind. Most of those that ought to be
-there have to be heard, so the smaller side of a split decides nothing; of them more than half, from two zones
-where there are two, have to say the same, so a liar or an instance that is cut off moves nothing.
+A witness is an instance outside the zone whose report is recent and not blind. More than half of the expected
+witnesses must have reported, so the smaller side of a network partition decides nothing. More than half of
+those that reported, from two zones where there are two, must agree, so one instance that reports falsely or
+is cut off changes nothing.
 """
 
 from __future__ import annotations
@@ -25,11 +27,11 @@
 
 
 LEAVE, AT_ONCE, RETURN, HOLD = "leave", "at once", "return", "hold"
-ORDERS = (LEAVE, AT_ONCE, RETURN, HOLD, "")  # "" takes one back; AT_ONCE leaves whatever the rest bears
+ORDERS = (LEAVE, AT_ONCE, RETURN, HOLD, "")  # "" cancels an order; AT_ONCE disregards spare capacity
 
 
 class Stage(StrEnum):
-    """How far a zone is in use by those outside it."""
+    """How far instances outside a zone use its boxes."""
 
     IN_USE = "in use"
     LEAVING = "leaving"
@@ -39,298 +41,332 @@
 
 
 class Zone(msgspec.Struct, frozen=True):
-    """What the word says of one zone."""
+    """The state of one zone in the decision. It travels as JSON under its field names."""
 
     stage: Stage = Stage.IN_USE
     step: int = 0  # of LEAVING or RETURNING
-    epoch: int = 0  # of the word that began this
-    at: int = 0  # when this began, milliseconds of the writer's Unix time: for operators, clocks differ
-    flaps: int = 0  # times that it has faltered of late
-    hand: str = ""  # the operators' word, which goes before what is seen: one of ORDERS
+    epoch: int = 0  # of the decision that began this state
+    at: int = 0  # when it began, milliseconds of the writer's Unix time; for operators only, as clocks differ
+    flaps: int = 0  # recent failures during a trial or a return
+    hand: str = ""  # the operators' order, which overrides the reports: one of ORDERS
     why: str = ""
 
 
 class Word(msgspec.Struct, frozen=True):
-    """The whole of it; zones that are not named are in use."""
+    """The states of all zones; zones that are not listed are in use.
+
+    It travels as JSON under its field names.
+    """
 
     epoch: int = 0
     writer: str = ""
     zones: dict[str, Zone] = {}
 
     def of(self, zone: str) -> Zone:
-        """What it says of a zone."""
+        """Returns the state of a zone."""
         return self.zones.get(zone, Zone())
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """At which pace. Times are milliseconds."""
-
-    leave_steps: tuple[float, ...] = (0.5, 0.0)  # shares while it is left
-    leave_ms: int = 150  # for each
-    settle_ms: int = 2_500  # for each by hand, while the zone is well: what has moved shows by then
-    back_steps: tuple[float, ...] = (0.1, 0.25, 0.5)  # and while it is returned to
-    back_ms: int = 1_500
-    rest_ms: int = 2_000  # that a zone rests before it is tried; doubled with each time that it falters
-    most_rest_ms: int = 60_000
-    trial_ms: int = 1_000  # that a trial has to go well for
-    trials: int = 2  # instances that try for all
-    trial_share: float = 1.0  # what these use of it
+    """Thresholds and pace of the zone decision. Times are milliseconds."""
+
+    leave_steps: tuple[float, ...] = (0.5, 0.0)  # fractions of the zone in use while LEAVING
+    leave_ms: int = 150  # duration of each step
+    # Duration of each step when a healthy zone is left on an order: the moved load shows within it.
+    settle_ms: int = 2_500
+    return_steps: tuple[float, ...] = (0.1, 0.25, 0.5)  # fractions of the zone in use while RETURNING
+    back_ms: int = 1_500  # duration of each of them
+    rest_ms: int = 2_000  # from AWAY to TRIAL; doubled with each flap
+    max_rest_ms: int = 60_000
+    trial_ms: int = 1_000  # for which a trial has to succeed
+    trial_instances: int = 2  # instances that try the zone on behalf of all
+    trial_fraction: float = 1.0  # of the zone that these use
     least_witnesses: int = 2
-    most_away: int = 1  # zones that may be left at once
-    calm_ms: int = 60_000  # in use for so long, and it has never faltered
-    fresh_ms: int = 3_000  # for which a report counts
-    hold_ms: int = 10_000  # for which the last word holds where neither the store nor another one is heard
+    most_away: int = 1  # zones that may be out of use at once
+    flap_reset_ms: int = 60_000  # in use for so long, the zone's flaps are reset
+    report_ttl_ms: int = 3_000  # for which a report counts
+    hold_ms: int = 10_000  # for which a decision holds without contact to the store or another instance
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="seen"):
-    """What an instance sees: a verdict for each zone. It is told when it changes, and now and then."""
+    """An instance's verdicts on the zones. It is sent when it changes, and repeated at intervals."""
 
     verdicts: dict[str, int]
     blind: bool = False
-    epoch: int = 0  # of the word that it went by
-    use: dict[str, tuple[float, float]] = {}  # by zone: attempts out there, and how many may be at once
-    since: dict[str, tuple[int, int]] = {}  # by zone: milliseconds without an answer, and of failures
+    epoch: int = 0  # of the decision that the sender follows
+    usage: dict[str, tuple[float, float]] = {}  # by zone: open attempts, and how many may be open at once
+    outage_ms: dict[str, tuple[int, int]] = {}  # by zone: milliseconds without an answer, and of failures
 
 
 @dataclass(frozen=True, slots=True)
 class Witness:
-    """A report as it is held. `at`: milliseconds by the clock of whoever holds it."""
+    """A received report. `received_at` is milliseconds of the receiver's clock."""
 
-    zone: str  # where the instance itself is
+    zone: str  # of the reporting instance
     report: Report
-    at: int
+    received_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """What the witnesses say of one zone."""
+    """The witnesses' reports on one zone, counted."""
 
-    expected: int  # instances outside it that are not known to be dead
-    heard: int  # of these, the ones with a fresh report that is not blind
+    expected: int  # instances outside the zone that are not known to be dead
+    reporting: int  # of these, the ones with a recent report that is not blind
     bad: int
     good: int
-    bad_from: int  # zones that those who see it fail are in
-    zones: int  # zones that those expected are in
-    ill: int = 0  # who see nothing but failures, and little
-    still: int = 0  # of those who see it well, who had an answer after half of the others saw it fail
-    out: float = 0.0  # attempts that those heard have out there
-    room: float = 0.0  # more that the zones in use would bear from them
-
-    def says_bad(self, terms: Terms) -> bool:
-        """Most say that it fails; or nobody sees any of it answer, where little of it is tried."""
-        if 2 * self.heard <= self.expected or self.bad_from < min(2, self.zones):
+    bad_zones: int  # zones of the instances that see it fail
+    expected_zones: int  # zones of the expected instances
+    ill: int = 0  # instances that see only failures, and few of them
+    good_after_onset: int = 0  # good reports with an answer after the median start of the reported failures
+    open_attempts: float = 0.0  # that the reporting instances have in the zone
+    spare_capacity: float = 0.0  # further attempts that the zones in use would take from them
+
+    def says_bad(self, settings: Terms) -> bool:
+        """Whether most witnesses see the zone fail, or, where few boxes are tried, none sees an answer."""
+        if 2 * self.reporting <= self.expected or self.bad_zones < min(2, self.expected_zones):
             return False
-        most = self.bad >= terms.least_witnesses and self.bad > self.good
-        nobody = self.bad + self.ill >= terms.least_witnesses and 3 * (self.bad + self.ill) >= 2 * self.heard
-        return most or (nobody and not self.still)
+        majority = self.bad >= settings.least_witnesses and self.bad > self.good
+        unanswered = (
+            self.bad + self.ill >= settings.least_witnesses
+            and 3 * (self.bad + self.ill) >= 2 * self.reporting
+        )
+        return majority or (unanswered and not self.good_after_onset)
 
     def says_good(self) -> bool:
-        """Some say that it is well, and hardly anybody says otherwise."""
+        """Whether some witnesses see the zone work, and at most a third as many see it fail."""
         return self.good > 0 and 3 * (self.bad + self.ill) <= self.good
 
-    def fits(self, part: float) -> bool:
-        """This part of what is out there can go to the rest, which does not bear it twice."""
-        return self.out * part <= self.room
+    def fits(self, fraction: float) -> bool:
+        """Whether the zones in use have spare capacity for this fraction of the zone's open attempts.
+
+        Capacity that one step takes is no longer spare for the next, which is checked by itself.
+        """
+        return self.open_attempts * fraction <= self.spare_capacity
 
     def falters(self) -> bool:
-        """Of those that use a part of it most see it fail."""
+        """Whether more witnesses see the zone fail than work, during a trial or a return."""
         return self.bad + self.ill > self.good
 
 
 def seen(
     zone: str,
-    word: Word,
+    decision: Word,
     places: Mapping[str, str],
     dead: Iterable[str],
     reports: Mapping[str, Witness],
     now: int,
-    terms: Terms,
+    settings: Terms,
     load: bool = True,
 ) -> Seen:
-    """What is said of a zone. `places`: the zone of each instance of the fleet, this one's among them.
+    """Counts the reports on a zone. `places` has the zone of each instance of the fleet, this one included.
 
-    `load`: also of what is out there and what the rest bears, which takes as long again.
-    While it is tried and returned to, what was seen before the last step says nothing.
+    `load`: whether to sum up open attempts and spare capacity as well, which doubles the cost. During TRIAL
+    and RETURNING, reports from before the last step do not count.
     """
-    told = word.of(zone)
-    least = told.epoch if told.stage in (Stage.TRIAL, Stage.RETURNING) else 0
-    gone = set(dead)
-    outside = {name: place for name, place in places.items() if place != zone and name not in gone}
-    heard = bad = good = ill = 0
-    out = room = 0.0
-    answers, onsets = list[int](), list[int]()
-    accusers = set[str]()
+    state = decision.of(zone)
+    min_epoch = state.epoch if state.stage in (Stage.TRIAL, Stage.RETURNING) else 0
+    dead_names = set(dead)
+    outside = {name: place for name, place in places.items() if place != zone and name not in dead_names}
+    reporting = bad = good = ill = 0
+    open_attempts = spare_capacity = 0.0
+    last_answers, onsets = list[int](), list[int]()
+    bad_zones = set[str]()
     for name, place in outside.items():
         witness = reports.get(name)
-        if witness is None or now - witness.at > terms.fresh_ms or _blind(witness.report):
+        if witness is None or now - witness.received_at > settings.report_ttl_ms or _is_blind(witness.report):
             continue
-        if witness.report.epoch < least:
+        if witness.report.epoch < min_epoch:
             continue
-        heard += 1
+        reporting += 1
         verdict = witness.report.verdicts.get(zone, Verdict.UNKNOWN)
         bad += verdict == Verdict.BAD
         good += verdict == Verdict.GOOD
         ill += verdict == Verdict.ILL
-        without, failing = witness.report.since.get(zone, (0, 0))
+        unanswered_ms, failing_ms = witness.report.outage_ms.get(zone, (0, 0))
         if verdict in (Verdict.BAD, Verdict.ILL):
-            accusers.add(place)
-            onsets.append(witness.at - failing)
+            bad_zones.add(place)
+            onsets.append(witness.received_at - failing_ms)
         elif verdict == Verdict.GOOD:
-            answers.append(witness.at - without)
-        for other, (there, bears) in witness.report.use.items() if load else ():
+            last_answers.append(witness.received_at - unanswered_ms)
+        for other, (attempts, capacity) in witness.report.usage.items() if load else ():
             if other == zone:
-                out += there
-            elif not _left(word.of(other)):
-                room += max(0.0, bears - there)
+                open_attempts += attempts
+            elif not _is_left(decision.of(other)):
+                spare_capacity += max(0.0, capacity - attempts)
     onset = sorted(onsets)[len(onsets) // 2] if onsets else 0
-    still = sum(answered > onset for answered in answers)
-    zones = len(set(outside.values()))
-    return Seen(len(outside), heard, bad, good, len(accusers), zones, ill, still, out, room)
-
-
-def _blind(report: Report) -> bool:
-    """It says so, or accuses all zones."""
-    told = report.verdicts.values()
-    return report.blind or (len(report.verdicts) > 1 and all(verdict == Verdict.BAD for verdict in told))
+    good_after_onset = sum(answered > onset for answered in last_answers)
+    expected_zones = len(set(outside.values()))
+    return Seen(
+        len(outside),
+        reporting,
+        bad,
+        good,
+        len(bad_zones),
+        expected_zones,
+        ill,
+        good_after_onset,
+        open_attempts,
+        spare_capacity,
+    )
+
+
+def _is_blind(report: Report) -> bool:
+    """Whether the report is marked as blind, or finds every zone bad."""
+    verdicts = report.verdicts.values()
+    return report.blind or (len(report.verdicts) > 1 and all(verdict == Verdict.BAD for verdict in verdicts))
 
 
 def following(
-    follower: Follower, all_seen: Mapping[str, Seen], now: int, at: int, me: str, hand: Mapping[str, str]
+    follower: Follower, tallies: Mapping[str, Seen], now: int, at: int, writer: str, orders: Mapping[str, str]
 ) -> Word | None:
-    """The word that follows; None while this one stands. `now` by the follower's clock, `at` Unix time.
+    """Returns the decision that replaces the follower's; None if nothing changes.
 
-    `hand`: what operators ask for, by zone; "" takes an order back.
+    `now` is milliseconds of the follower's clock, `at` of Unix time, `writer` the name of this instance.
+    `orders` has the operators' new orders by zone; "" cancels an order.
     """
-    word, terms = follower.word, follower.terms
+    decision, settings = follower.word, follower.terms
     changed: dict[str, Zone] = {}
-    away = {zone for zone in all_seen if _left(word.of(zone))}
-    for zone in sorted(all_seen, key=lambda zone: (-all_seen[zone].bad, zone)):
-        before = word.of(zone)
-        if zone in hand and hand[zone] != before.hand:
-            before = _turned(before, at, hand=hand[zone])
-        passed = follower.passed(now, zone)
-        after = _step(before, all_seen[zone], at, passed, terms, len(away - {zone}) < terms.most_away)
-        if _left(after):
+    away = {zone for zone in tallies if _is_left(decision.of(zone))}
+    for zone in sorted(tallies, key=lambda zone: (-tallies[zone].bad, zone)):
+        before = decision.of(zone)
+        if zone in orders and orders[zone] != before.hand:
+            before = _changed(before, at, hand=orders[zone])
+        elapsed = follower.passed(now, zone)
+        after = _next_state(
+            before, tallies[zone], at, elapsed, settings, len(away - {zone}) < settings.most_away
+        )
+        if _is_left(after):
             away.add(zone)
-        if after != word.of(zone):
-            changed[zone] = msgspec.structs.replace(after, epoch=word.epoch + 1)
+        if after != decision.of(zone):
+            changed[zone] = msgspec.structs.replace(after, epoch=decision.epoch + 1)
     if not changed:
         return None
-    return Word(word.epoch + 1, me, {**word.zones, **changed})
+    return Word(decision.epoch + 1, writer, {**decision.zones, **changed})
 
 
-def _left(zone: Zone) -> bool:
+def _is_left(zone: Zone) -> bool:
     return zone.stage is not Stage.IN_USE
 
 
-def _turned(zone: Zone, at: int, **changes: object) -> Zone:
-    """The same zone with these changes, from then on."""
+def _changed(zone: Zone, at: int, **changes: object) -> Zone:
+    """Returns the state with these changes, begun at this Unix time in milliseconds."""
     return msgspec.structs.replace(zone, at=at, **changes)
 
 
-def _step(zone: Zone, said: Seen, at: int, passed: int, terms: Terms, may_leave: bool) -> Zone:
-    """What a zone does next, so long after its last change."""
-    fails = zone.hand != RETURN and said.says_bad(terms)
+def _next_state(zone: Zone, tally: Seen, at: int, elapsed: int, settings: Terms, may_leave: bool) -> Zone:
+    """Returns the next state of a zone, `elapsed` milliseconds after its last change."""
+    fails = zone.hand != RETURN and tally.says_bad(settings)
     by_hand = zone.hand in (LEAVE, AT_ONCE)
     bad = fails or by_hand
-    # A zone that fails serves nobody; what is well is left at the pace that the rest bears.
+    # A failing zone serves nobody; a healthy one is left at the pace that the other zones have capacity for.
     paced = zone.hand == LEAVE and not fails
     if zone.hand == HOLD:
         return zone
     match zone.stage:
         case Stage.IN_USE:
-            if bad and may_leave and (not paced or said.fits(1.0 - terms.leave_steps[0])):
-                why = "by hand" if by_hand else f"{said.bad} of {said.heard} see it fail"
-                return _turned(zone, at, stage=Stage.LEAVING, step=0, why=why)
-            if zone.flaps and passed >= terms.calm_ms:
-                return _turned(zone, zone.at, flaps=0)
-        case Stage.LEAVING if passed >= (terms.settle_ms if paced else terms.leave_ms):
-            here, *after = terms.leave_steps[zone.step :]
-            if paced and after and not said.fits(1.0 - after[0] / here):
+            if bad and may_leave and (not paced or tally.fits(1.0 - settings.leave_steps[0])):
+                why = "by hand" if by_hand else f"{tally.bad} of {tally.reporting} see it fail"
+                return _changed(zone, at, stage=Stage.LEAVING, step=0, why=why)
+            if zone.flaps and elapsed >= settings.flap_reset_ms:
+                return _changed(zone, zone.at, flaps=0)
+        case Stage.LEAVING if elapsed >= (settings.settle_ms if paced else settings.leave_ms):
+            current, *remaining = settings.leave_steps[zone.step :]
+            if paced and remaining and not tally.fits(1.0 - remaining[0] / current):
                 return zone
-            if zone.step + 1 < len(terms.leave_steps):
-                return _turned(zone, at, step=zone.step + 1)
-            return _turned(zone, at, stage=Stage.AWAY, step=0)
+            if zone.step + 1 < len(settings.leave_steps):
+                return _changed(zone, at, step=zone.step + 1)
+            return _changed(zone, at, stage=Stage.AWAY, step=0)
         case Stage.AWAY if not by_hand:
-            rest = min(terms.most_rest_ms, terms.rest_ms << min(zone.flaps, 10))
-            if passed >= rest or zone.hand == RETURN:
-                return _turned(zone, at, stage=Stage.TRIAL, why="its rest is over")
-        case Stage.TRIAL | Stage.RETURNING if bad or (zone.hand != RETURN and said.falters()):
-            fail = said.bad + said.ill
-            why = "by hand" if by_hand else f"it faltered: {fail} see it fail, {said.good} well"
-            return _turned(zone, at, stage=Stage.AWAY, step=0, flaps=zone.flaps + 1, why=why)
-        case Stage.TRIAL if passed >= terms.trial_ms and said.says_good():
-            return _turned(zone, at, stage=Stage.RETURNING, step=0, why="its trial went well")
-        case Stage.RETURNING if passed >= terms.back_ms and said.says_good():
-            if zone.step + 1 < len(terms.back_steps):
-                return _turned(zone, at, step=zone.step + 1)
+            rest = min(settings.max_rest_ms, settings.rest_ms << min(zone.flaps, 10))
+            if elapsed >= rest or zone.hand == RETURN:
+                return _changed(zone, at, stage=Stage.TRIAL, why="its rest is over")
+        case Stage.TRIAL | Stage.RETURNING if bad or (zone.hand != RETURN and tally.falters()):
+            failing = tally.bad + tally.ill
+            why = "by hand" if by_hand else f"it faltered: {failing} see it fail, {tally.good} well"
+            return _changed(zone, at, stage=Stage.AWAY, step=0, flaps=zone.flaps + 1, why=why)
+        case Stage.TRIAL if elapsed >= settings.trial_ms and tally.says_good():
+            return _changed(zone, at, stage=Stage.RETURNING, step=0, why="its trial went well")
+        case Stage.RETURNING if elapsed >= settings.back_ms and tally.says_good():
+            if zone.step + 1 < len(settings.return_steps):
+                return _changed(zone, at, step=zone.step + 1)
             hand = "" if zone.hand == RETURN else zone.hand
-            return _turned(zone, at, stage=Stage.IN_USE, step=0, hand=hand, why="it is back")
+            return _changed(zone, at, stage=Stage.IN_USE, step=0, hand=hand, why="it is back")
         case _:
             pass
     return zone
 
 
-def share(zone: Zone, place: int, terms: Terms) -> float:
-    """What an instance outside a zone uses of it. `place`: in the zone's order of those that are up there."""
+def share(zone: Zone, rank: int, settings: Terms) -> float:
+    """Returns the fraction of a zone that an instance outside it uses.
+
+    `rank` is the instance's position in the zone's order of the outside instances that are up.
+    """
     match zone.stage:
         case Stage.IN_USE:
             return 1.0
         case Stage.LEAVING:
-            return terms.leave_steps[zone.step]
+            return settings.leave_steps[zone.step]
         case Stage.TRIAL | Stage.RETURNING:
-            # Those that tried it go on: of a small part, the others may use no box at all.
-            part = terms.back_steps[zone.step] if zone.stage is Stage.RETURNING else 0.0
-            return terms.trial_share if place < terms.trials else part
+            # The instances of the trial keep theirs: a small fraction may leave the others without any box.
+            fraction = settings.return_steps[zone.step] if zone.stage is Stage.RETURNING else 0.0
+            return settings.trial_fraction if rank < settings.trial_instances else fraction
         case _:
             return 0.0
 
 
-def may_replace(read: int, word: Word) -> bool:
-    """Whether a word may be put in place of the one of this epoch that was read, not just told of."""
-    return word.epoch == read + 1
+def may_replace(read_epoch: int, decision: Word) -> bool:
+    """Whether a decision may replace the one with the epoch that was last read from the store itself.
+
+    An epoch that another instance sent does not count as read.
+    """
+    return decision.epoch == read_epoch + 1
 
 
 @dataclass(slots=True)
 class Follower:
-    """The word that one instance goes by. Times are milliseconds of one clock that runs evenly."""
+    """The decision that one instance follows. Times are milliseconds of one monotonic clock."""
 
     terms: Terms
     word: Word = Word()
-    heard_at: int = 0  # when the store, or another instance, was last heard
-    changed: dict[str, int] = field(default_factory=dict)  # when each zone's last change was heard of
-    told: dict[str, Word] = field(default_factory=dict)  # the last word that each other instance told
+    heard_at: int = 0  # last contact to the store or to another instance
+    changed: dict[str, int] = field(default_factory=dict)  # when each zone's last change was adopted here
+    told: dict[str, Word] = field(default_factory=dict)  # the last decision that each other instance sent
 
     def passed(self, now: int, zone: str) -> int:
-        """For how long what the word says of a zone has been known here."""
+        """Returns the milliseconds since the last change of a zone was adopted here."""
         return now - self.changed.get(zone, -(10**9))
 
-    def tell(self, now: int, name: str, word: Word, store: bool) -> bool:
-        """Another instance has told its word; true where it is gone by from now on.
+    def tell(self, now: int, name: str, decision: Word, store: bool) -> bool:
+        """Handles a decision sent by another instance; returns True if it was adopted.
 
-        `store`: it can be had from the store, which alone is believed then. Otherwise `least_witnesses` have
-        to tell one and the same, so that no instance alone moves another by a word that nobody wrote.
+        `store`: the store can be read, and then only what it holds is adopted. Otherwise `least_witnesses`
+        instances must have sent the same decision, so that no single instance can make others follow a
+        decision that was never written.
         """
         self.heard_at = now
-        if word.epoch <= self.word.epoch:
+        if decision.epoch <= self.word.epoch:
             self.told.pop(name, None)
             return False
-        self.told[name] = word
-        same = sum(other == word for other in self.told.values())
-        return not store and same >= self.terms.least_witnesses and self.hear(now, word)
+        self.told[name] = decision
+        agreeing = sum(other == decision for other in self.told.values())
+        return not store and agreeing >= self.terms.least_witnesses and self.hear(now, decision)
+
+    def hear(self, now: int, decision: Word | None) -> bool:
+        """Notes contact, and adopts the decision read from the store if it is later; True if it was adopted.
 
-    def hear(self, now: int, word: Word | None) -> bool:
-        """The store has told its word, or another instance is heard, None; true for a later word."""
+        `decision` is None where another instance was heard from and the store was not read.
+        """
         self.heard_at = now
-        if word is None or word.epoch <= self.word.epoch:
+        if decision is None or decision.epoch <= self.word.epoch:
             return False
-        for zone in word.zones:
-            if word.zones[zone] != self.word.of(zone):
+        for zone in decision.zones:
+            if decision.zones[zone] != self.word.of(zone):
                 self.changed[zone] = now
-        self.word = word
+        self.word = decision
         return True
 
     def lost(self, now: int) -> bool:
-        """Out of touch for so long that the word counts for nothing any more."""
+        """Whether contact has been lost for longer than `hold_ms`, so that the decision no longer applies."""
         return now - self.heard_at > self.terms.hold_ms
--- a/tests/test_zone_word.py
+++ b/tests/test_zone_word.py
@@ -1,4 +1,4 @@
-"""What an instance sees of zones, and the word that follows from what witnesses say; clocks handed in."""
+"""Verdicts on zones, and the decision that follows from the witnesses' reports, with clocks passed in."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -30,249 +30,264 @@
 BAD, GOOD, ILL = int(Verdict.BAD), int(Verdict.GOOD), int(Verdict.ILL)
 
 
-def eyes(boxes: int = 4) -> Evidence:
-    """Of a fleet with so many boxes in each of three zones."""
-    made = Evidence(evidence.Terms())
-    made.listed({f"{zone}{n}": zone for zone in "abc" for n in range(boxes)})
-    return made
+def three_zones(boxes: int = 4) -> Evidence:
+    """The evidence of an instance whose fleet has this many boxes in each of three zones."""
+    observer = Evidence(evidence.Terms())
+    observer.listed({f"{zone}{n}": zone for zone in "abc" for n in range(boxes)})
+    return observer
 
 
-def failed(made: Evidence, now: int, *boxes: str) -> None:
+def fail(observer: Evidence, now: int, *boxes: str) -> None:
     for box in boxes:
-        made.ended(now, box, Result.TIMEOUT)
+        observer.ended(now, box, Result.TIMEOUT)
 
 
 def test_a_zone_is_bad_when_most_of_its_boxes_fail_and_good_when_they_answer_again() -> None:
-    made = eyes()
+    observer = three_zones()
     for box in ("a0", "a1", "a2", "a3", "b0"):
-        made.ended(0, box, Result.OK)
-    failed(made, 500 * MS, "a0", "a1")
-    assert made.verdicts(600 * MS) == {"a": Verdict.ILL, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
-    failed(made, 700 * MS, "a2")  # what a3 answered before the first failure says nothing of now
-    assert made.verdicts(700 * MS)["a"] is Verdict.BAD
+        observer.ended(0, box, Result.OK)
+    fail(observer, 500 * MS, "a0", "a1")
+    assert observer.verdicts(600 * MS) == {"a": Verdict.ILL, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
+    fail(observer, 700 * MS, "a2")  # a3's answer from before the first failure does not count
+    assert observer.verdicts(700 * MS)["a"] is Verdict.BAD
     for box in ("a0", "a1", "a2"):
-        made.ended(900 * MS, box, Result.ERROR)  # an answer all the same
-    assert made.verdicts(900 * MS)["a"] is Verdict.GOOD
-    assert made.verdicts(5_000 * MS)["a"] is Verdict.UNKNOWN  # long ago
+        observer.ended(900 * MS, box, Result.ERROR)  # an error answer counts as an answer
+    assert observer.verdicts(900 * MS)["a"] is Verdict.GOOD
+    assert observer.verdicts(5_000 * MS)["a"] is Verdict.UNKNOWN  # the answers have expired
 
 
-def test_half_of_a_zone_is_not_the_zone() -> None:
-    made = eyes()
+def test_a_zone_with_half_of_its_boxes_failing_is_not_bad() -> None:
+    observer = three_zones()
     for turn in range(20):
-        failed(made, turn * 50 * MS, "a0", "a1")
-        made.ended(turn * 50 * MS, f"a{2 + turn % 2}", Result.OK)
-    assert made.verdicts(1_000 * MS)["a"] is Verdict.UNKNOWN
-
-
-def test_an_instance_that_sees_all_zones_fail_or_stood_still_is_blind() -> None:
-    made = eyes()
-    failed(made, 0, *[f"{zone}{n}" for zone in "ab" for n in range(4)])
-    assert set(made.verdicts(1).values()) == {Verdict.UNKNOWN} and made.blind(1)
-    made = eyes()
-    failed(made, 0, *[f"a{n}" for n in range(4)])
-    made.stood(1)
-    assert made.verdicts(2)["a"] is Verdict.UNKNOWN and made.blind(2) and not made.blind(2_000 * MS)
-    failed(made, 2_000 * MS, *[f"a{n}" for n in range(4)])
-    assert made.verdicts(2_000 * MS)["a"] is Verdict.UNKNOWN  # nothing is known of any other
-    made.ended(2_000 * MS, "b0", Result.OK)
-    assert made.verdicts(2_000 * MS)["a"] is Verdict.BAD
-
-
-def test_boxes_that_fail_are_tried_seldom_and_count_for_longer_than_those_that_answer() -> None:
-    made = eyes()
+        fail(observer, turn * 50 * MS, "a0", "a1")
+        observer.ended(turn * 50 * MS, f"a{2 + turn % 2}", Result.OK)
+    assert observer.verdicts(1_000 * MS)["a"] is Verdict.UNKNOWN
+
+
+def test_an_instance_that_sees_all_zones_fail_or_stalled_is_blind() -> None:
+    observer = three_zones()
+    fail(observer, 0, *[f"{zone}{n}" for zone in "ab" for n in range(4)])
+    assert set(observer.verdicts(1).values()) == {Verdict.UNKNOWN} and observer.blind(1)
+    observer = three_zones()
+    fail(observer, 0, *[f"a{n}" for n in range(4)])
+    observer.stood(1)
+    assert (
+        observer.verdicts(2)["a"] is Verdict.UNKNOWN and observer.blind(2) and not observer.blind(2_000 * MS)
+    )
+    fail(observer, 2_000 * MS, *[f"a{n}" for n in range(4)])
+    assert observer.verdicts(2_000 * MS)["a"] is Verdict.UNKNOWN  # no other zone is known to work
+    observer.ended(2_000 * MS, "b0", Result.OK)
+    assert observer.verdicts(2_000 * MS)["a"] is Verdict.BAD
+
+
+def test_failures_count_for_longer_than_answers_as_failed_boxes_are_tried_rarely() -> None:
+    observer = three_zones()
     for number, box in enumerate(("a0", "a1", "a2")):
-        failed(made, number * 9_000 * MS, box)
-    made.ended(18_000 * MS, "b0", Result.OK)
-    assert made.verdicts(19_000 * MS) == {"a": Verdict.BAD, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
-    made.ended(30_000 * MS, "b0", Result.OK)
-    assert made.verdicts(30_000 * MS)["a"] is Verdict.ILL  # a0's was long ago
-    assert made.verdicts(32_000 * MS)["b"] is Verdict.UNKNOWN
-
-
-def test_how_long_nothing_has_answered_and_boxes_have_failed_is_told_of_each_zone() -> None:
-    made = eyes()
-    made.ended(100 * MS, "a0", Result.OK)
-    made.ended(300 * MS, "a1", Result.FULL)
-    failed(made, 400 * MS, "a2", "b0")
-    failed(made, 600 * MS, "a2")
-    assert made.since(1_000 * MS) == {"a": (700 * MS, 600 * MS), "b": (30_000 * MS, 600 * MS)}
-
-
-def test_where_no_zone_is_well_none_is_accused() -> None:
-    made = eyes()
-    failed(made, 0, "a0", "a1", "a2", "b0", "c0")
+        fail(observer, number * 9_000 * MS, box)
+    observer.ended(18_000 * MS, "b0", Result.OK)
+    assert observer.verdicts(19_000 * MS) == {"a": Verdict.BAD, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
+    observer.ended(30_000 * MS, "b0", Result.OK)
+    assert observer.verdicts(30_000 * MS)["a"] is Verdict.ILL  # a0's failure has expired
+    assert observer.verdicts(32_000 * MS)["b"] is Verdict.UNKNOWN
+
+
+def test_the_time_without_an_answer_and_of_failures_is_reported_by_zone() -> None:
+    observer = three_zones()
+    observer.ended(100 * MS, "a0", Result.OK)
+    observer.ended(300 * MS, "a1", Result.FULL)
+    fail(observer, 400 * MS, "a2", "b0")
+    fail(observer, 600 * MS, "a2")
+    assert observer.since(1_000 * MS) == {"a": (700 * MS, 600 * MS), "b": (30_000 * MS, 600 * MS)}
+
+
+def test_without_a_healthy_zone_none_is_bad() -> None:
+    observer = three_zones()
+    fail(observer, 0, "a0", "a1", "a2", "b0", "c0")
     for box in ("b1", "c1"):
-        made.ended(0, box, Result.OK)
-    assert set(made.verdicts(1).values()) == {Verdict.UNKNOWN} and not made.blind(1)
-    made.ended(2, "b0", Result.OK)
-    assert made.verdicts(3) == {"a": Verdict.BAD, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
+        observer.ended(0, box, Result.OK)
+    assert set(observer.verdicts(1).values()) == {Verdict.UNKNOWN} and not observer.blind(1)
+    observer.ended(2, "b0", Result.OK)
+    assert observer.verdicts(3) == {"a": Verdict.BAD, "b": Verdict.GOOD, "c": Verdict.UNKNOWN}
 
 
 PLACES = {f"{zone}{n}": zone for zone in "abc" for n in range(4)}
 
 
-NEW = Word()
+INITIAL = Word()
 
 
-def said(reports: dict[str, Report], word: Word = NEW, dead: tuple[str, ...] = (), now: int = 0) -> Seen:
-    """What is said of zone c."""
-    held = {name: Witness(PLACES[name], report, 0) for name, report in reports.items()}
-    return seen("c", word, PLACES, dead, held, now, TERMS)
+def tally_c(
+    reports: dict[str, Report], decision: Word = INITIAL, dead: tuple[str, ...] = (), now: int = 0
+) -> Seen:
+    """The counted reports on zone c."""
+    witnesses = {name: Witness(PLACES[name], report, 0) for name, report in reports.items()}
+    return seen("c", decision, PLACES, dead, witnesses, now, TERMS)
 
 
-def all_say(verdict: int, names: list[str], **more: Any) -> dict[str, Report]:
+def all_see(verdict: int, names: list[str], **more: Any) -> dict[str, Report]:
+    """Reports of these instances with this verdict on zone c and GOOD on the others."""
     return {name: Report({"a": GOOD, "b": GOOD, "c": verdict}, **more) for name in names}
 
 
 FAILS = {"c": (9_000, 500)}  # milliseconds without an answer, and of failures
-DOES, DID = {"c": (499, 0)}, {"c": (500, 0)}
+# The last answer came after, or not after, the others' failures began 500 ms ago.
+AFTER, BEFORE = {"c": (499, 0)}, {"c": (500, 0)}
 OUTSIDE = [name for name, zone in PLACES.items() if zone != "c"]
 
 
 @pytest.mark.parametrize(
     ("reports", "bad"),
     [
-        (all_say(BAD, OUTSIDE), True),
-        (all_say(BAD, OUTSIDE[:3] + OUTSIDE[4:6]), True),
-        (all_say(GOOD, OUTSIDE) | all_say(BAD, OUTSIDE[:1]), False),  # a liar, or one that is cut off
-        (all_say(GOOD, OUTSIDE) | all_say(BAD, OUTSIDE[:4]), False),  # as many say otherwise
-        (all_say(0, OUTSIDE) | all_say(BAD, OUTSIDE[:4]), False),  # of one zone: the way between the two
-        (all_say(0, OUTSIDE) | all_say(BAD, [OUTSIDE[0], OUTSIDE[4]]), True),
-        (all_say(BAD, [OUTSIDE[0], OUTSIDE[1], OUTSIDE[4], OUTSIDE[5]]), False),  # half of them is heard
-        (all_say(ILL, OUTSIDE[:3] + OUTSIDE[5:]) | all_say(0, OUTSIDE[3:5]), True),  # nobody sees it answer
-        (all_say(ILL, OUTSIDE, since=FAILS) | all_say(GOOD, OUTSIDE[:1], since=DOES), False),  # one does
-        (all_say(ILL, OUTSIDE, since=FAILS) | all_say(GOOD, OUTSIDE[:1], since=DID), True),  # it did before
-        (all_say(ILL, OUTSIDE[:5]) | all_say(0, OUTSIDE[5:]), False),  # too few see it at all
-        (all_say(BAD, OUTSIDE, blind=True), False),
-        ({name: Report({"a": BAD, "b": BAD, "c": BAD}) for name in OUTSIDE}, False),  # accuse everything
-        (all_say(BAD, [name for name in PLACES if PLACES[name] == "c"]), False),  # see themselves
+        (all_see(BAD, OUTSIDE), True),
+        (all_see(BAD, OUTSIDE[:3] + OUTSIDE[4:6]), True),
+        (all_see(GOOD, OUTSIDE) | all_see(BAD, OUTSIDE[:1]), False),  # one instance is wrong or cut off
+        (all_see(GOOD, OUTSIDE) | all_see(BAD, OUTSIDE[:4]), False),  # as many see it work
+        # All that see it fail are in one zone: the network between the two may have failed.
+        (all_see(0, OUTSIDE) | all_see(BAD, OUTSIDE[:4]), False),
+        (all_see(0, OUTSIDE) | all_see(BAD, [OUTSIDE[0], OUTSIDE[4]]), True),
+        (all_see(BAD, [OUTSIDE[0], OUTSIDE[1], OUTSIDE[4], OUTSIDE[5]]), False),  # only half have reported
+        (all_see(ILL, OUTSIDE[:3] + OUTSIDE[5:]) | all_see(0, OUTSIDE[3:5]), True),  # none sees an answer
+        # One instance had an answer after the failures began, then only before.
+        (all_see(ILL, OUTSIDE, outage_ms=FAILS) | all_see(GOOD, OUTSIDE[:1], outage_ms=AFTER), False),
+        (all_see(ILL, OUTSIDE, outage_ms=FAILS) | all_see(GOOD, OUTSIDE[:1], outage_ms=BEFORE), True),
+        (all_see(ILL, OUTSIDE[:5]) | all_see(0, OUTSIDE[5:]), False),  # too few have tried it at all
+        (all_see(BAD, OUTSIDE, blind=True), False),
+        ({name: Report({"a": BAD, "b": BAD, "c": BAD}) for name in OUTSIDE}, False),  # see every zone fail
+        (all_see(BAD, [name for name in PLACES if PLACES[name] == "c"]), False),  # in the zone itself
     ],
 )
-def test_who_it_takes_to_say_that_a_zone_fails(reports: dict[str, Report], bad: bool) -> None:
-    assert said(reports).says_bad(TERMS) is bad
+def test_which_reports_make_a_zone_count_as_failing(reports: dict[str, Report], bad: bool) -> None:
+    assert tally_c(reports).says_bad(TERMS) is bad
 
 
-def test_the_dead_are_not_waited_for_and_old_reports_say_nothing() -> None:
-    few = all_say(BAD, [OUTSIDE[0], OUTSIDE[4]])
-    assert not said(few).says_bad(TERMS)
-    assert said(few, dead=tuple(OUTSIDE[1:4] + OUTSIDE[5:])).says_bad(TERMS)
-    assert not said(all_say(BAD, OUTSIDE), now=TERMS.fresh_ms + 1).says_bad(TERMS)
+def test_dead_instances_are_not_expected_and_old_reports_do_not_count() -> None:
+    few = all_see(BAD, [OUTSIDE[0], OUTSIDE[4]])
+    assert not tally_c(few).says_bad(TERMS)
+    assert tally_c(few, dead=tuple(OUTSIDE[1:4] + OUTSIDE[5:])).says_bad(TERMS)
+    assert not tally_c(all_see(BAD, OUTSIDE), now=TERMS.report_ttl_ms + 1).says_bad(TERMS)
     tried = Word(7, "a0", {"c": Zone(Stage.TRIAL, epoch=7)})
-    assert said(all_say(BAD, OUTSIDE, epoch=6), tried).bad == 0  # seen before it was tried
-    assert said(all_say(BAD, OUTSIDE, epoch=7), tried).bad == 8
+    assert tally_c(all_see(BAD, OUTSIDE, epoch=6), tried).bad == 0  # from before the trial
+    assert tally_c(all_see(BAD, OUTSIDE, epoch=7), tried).bad == 8
 
 
-WELL, FAILING = Seen(8, 8, 0, 8, 0, 2), Seen(8, 8, 8, 0, 2, 2)
-NOTHING = Seen(8, 8, 0, 0, 0, 2)
+HEALTHY, FAILING = Seen(8, 8, 0, 8, 0, 2), Seen(8, 8, 8, 0, 2, 2)
+NO_VERDICTS = Seen(8, 8, 0, 0, 0, 2)
 
 
-class Play:
-    """One follower and its clock, in milliseconds."""
+class DecisionRun:
+    """Applies successive decisions to one follower, on a simulated clock in milliseconds."""
 
     def __init__(self, terms: Terms = TERMS) -> None:
         self.now, self.follower = 1_000_000, Follower(terms)
-        self.words: list[Word] = []
+        self.decisions: list[Word] = []
 
-    def wait(self, ms: int, sees: dict[str, Seen], hand: dict[str, str] | None = None) -> None:
+    def wait(self, ms: int, tallies: dict[str, Seen], orders: dict[str, str] | None = None) -> None:
+        """Passes this time in steps of 50 ms; zones that `tallies` does not name are healthy."""
         for _ in range(ms // 50):
             self.now += 50
-            given = self.follower, {"a": WELL, "b": WELL, "c": WELL} | sees, self.now, self.now, "a0"
-            word = following(*given, hand or {})
-            if word is not None:
-                assert word.epoch == self.follower.word.epoch + 1
-                assert self.follower.hear(self.now, word)
-                self.words.append(word)
+            given = (
+                self.follower,
+                {"a": HEALTHY, "b": HEALTHY, "c": HEALTHY} | tallies,
+                self.now,
+                self.now,
+                "a0",
+            )
+            decision = following(*given, orders or {})
+            if decision is not None:
+                assert decision.epoch == self.follower.word.epoch + 1
+                assert self.follower.hear(self.now, decision)
+                self.decisions.append(decision)
 
     def stages(self, zone: str = "c") -> list[tuple[Stage, int]]:
-        return [(word.of(zone).stage, word.of(zone).step) for word in self.words]
+        return [(decision.of(zone).stage, decision.of(zone).step) for decision in self.decisions]
 
 
 L, A, T, R, U = Stage.LEAVING, Stage.AWAY, Stage.TRIAL, Stage.RETURNING, Stage.IN_USE
 
 
 def test_a_zone_is_left_and_returned_to_in_steps() -> None:
-    play = Play()
-    play.wait(400, {"c": FAILING})
-    assert play.stages() == [(L, 0), (L, 1), (A, 0)]
-    play.wait(1_500, {"c": NOTHING})
-    assert play.stages()[-1] == (A, 0)
-    play.wait(20_000, {})
-    assert play.stages()[3:] == [(T, 0), (R, 0), (R, 1), (R, 2), (U, 0)]
-    parts = [share(word.of("c"), 5, TERMS) for word in play.words]
-    assert parts == [0.5, 0.0, 0.0, 0.0, 0.1, 0.25, 0.5, 1.0]
-    assert share(play.words[3].of("c"), 1, TERMS) == TERMS.trial_share  # two try for all
-
-
-def test_a_zone_that_falters_rests_for_longer_each_time_and_is_forgiven_after_calm() -> None:
-    play = Play()
-    play.wait(400, {"c": FAILING})
+    run = DecisionRun()
+    run.wait(400, {"c": FAILING})
+    assert run.stages() == [(L, 0), (L, 1), (A, 0)]
+    run.wait(1_500, {"c": NO_VERDICTS})
+    assert run.stages()[-1] == (A, 0)
+    run.wait(20_000, {})
+    assert run.stages()[3:] == [(T, 0), (R, 0), (R, 1), (R, 2), (U, 0)]
+    fractions = [share(decision.of("c"), 5, TERMS) for decision in run.decisions]
+    assert fractions == [0.5, 0.0, 0.0, 0.0, 0.1, 0.25, 0.5, 1.0]
+    assert share(run.decisions[3].of("c"), 1, TERMS) == TERMS.trial_fraction  # two instances run the trial
+
+
+def test_a_zone_rests_longer_after_each_failed_trial_and_its_flaps_reset_after_a_while() -> None:
+    run = DecisionRun()
+    run.wait(400, {"c": FAILING})
     rests = []
     for _ in range(6):
-        began = play.now
-        while play.words[-1].of("c").stage is not T:
-            play.wait(50, {"c": NOTHING})
-        rests.append(play.now - began)
-        while play.words[-1].of("c").stage is not A:
-            play.wait(50, {"c": FAILING})
+        began = run.now
+        while run.decisions[-1].of("c").stage is not T:
+            run.wait(50, {"c": NO_VERDICTS})
+        rests.append(run.now - began)
+        while run.decisions[-1].of("c").stage is not A:
+            run.wait(50, {"c": FAILING})
     assert [round(rest, -3) for rest in rests] == [2_000, 4_000, 8_000, 16_000, 32_000, 60_000]
-    play.wait(140_000, {})
-    assert (play.words[-1].of("c").stage, play.words[-1].of("c").flaps) == (U, 0)
+    run.wait(140_000, {})
+    assert (run.decisions[-1].of("c").stage, run.decisions[-1].of("c").flaps) == (U, 0)
 
 
-def test_of_two_zones_that_fail_one_stays() -> None:
-    play = Play()
-    play.wait(1_000, {"c": FAILING})
-    play.wait(3_000, {"c": FAILING, "b": FAILING})
-    assert play.words[-1].of("b").stage is U
-    both = Play()
+def test_of_two_failing_zones_only_one_is_left() -> None:
+    run = DecisionRun()
+    run.wait(1_000, {"c": FAILING})
+    run.wait(3_000, {"c": FAILING, "b": FAILING})
+    assert run.decisions[-1].of("b").stage is U
+    both = DecisionRun()
     both.wait(2_000, {"b": FAILING, "c": Seen(8, 8, 5, 2, 2, 2)})
-    assert [both.words[-1].of(zone).stage is U for zone in "bc"] == [False, True]  # the worse one is left
-
-
-def test_operators_go_before_what_is_seen() -> None:
-    play = Play()
-    play.wait(500, {}, {"c": "at once"})
-    assert play.stages() == [(L, 0), (L, 1), (A, 0)]
-    play.wait(90_000, {})
-    assert play.stages()[-1] == (A, 0)  # it stays away
-    play.wait(50, {}, {"c": "return"})
-    play.wait(20_000, {})
-    assert play.stages()[-1] == (U, 0) and play.words[-1].of("c").hand == ""
-    play.wait(100, {}, {"c": "hold"})
-    play.wait(5_000, {"c": FAILING})
-    assert play.stages()[-1] == (U, 0)
-    play.wait(100, {"c": FAILING}, {"c": ""})
-    assert play.stages()[-1] == (L, 0)
-
-
-def test_a_zone_that_is_well_is_left_as_the_rest_bears_it_and_one_that_fails_at_once() -> None:
-    def rest(out: float, room: float, sees: Seen = WELL) -> dict[str, Seen]:
-        return {"c": replace(sees, out=out, room=room)}
-
-    play = Play()
-    play.wait(60_000, rest(20.0, 9.0), {"c": "leave"})
-    assert play.stages() == [(U, 0)]  # the order stands
-    play.wait(100, rest(20.0, 10.0))
-    play.wait(60_000, rest(10.0, 9.9))
-    assert play.stages()[1:] == [(L, 0)]
-    play.wait(TERMS.settle_ms, rest(10.0, 10.0))
-    play.wait(TERMS.settle_ms, rest(0.0, 0.0))
-    assert play.stages()[2:] == [(L, 1), (A, 0)]
-    fails = Play()
-    fails.wait(60_000, rest(20.0, 0.0), {"c": "leave"})
-    fails.wait(400, rest(20.0, 0.0, FAILING))
-    assert fails.stages() == [(U, 0), (L, 0), (L, 1), (A, 0)]
-
-
-def test_the_rest_is_what_the_zones_in_use_bear_beyond_what_is_out_there() -> None:
-    use = {"a": (1.0, 4.0), "b": (6.0, 5.0), "c": (2.0, 9.0)}
-    told = said(all_say(GOOD, OUTSIDE, use=use))
-    assert (told.out, told.room) == (16.0, 24.0)
+    assert [both.decisions[-1].of(zone).stage is U for zone in "bc"] == [False, True]  # the worse one is left
+
+
+def test_operators_orders_override_the_reports() -> None:
+    run = DecisionRun()
+    run.wait(500, {}, {"c": "at once"})
+    assert run.stages() == [(L, 0), (L, 1), (A, 0)]
+    run.wait(90_000, {})
+    assert run.stages()[-1] == (A, 0)  # it stays away
+    run.wait(50, {}, {"c": "return"})
+    run.wait(20_000, {})
+    assert run.stages()[-1] == (U, 0) and run.decisions[-1].of("c").hand == ""
+    run.wait(100, {}, {"c": "hold"})
+    run.wait(5_000, {"c": FAILING})
+    assert run.stages()[-1] == (U, 0)
+    run.wait(100, {"c": FAILING}, {"c": ""})
+    assert run.stages()[-1] == (L, 0)
+
+
+def test_a_healthy_zone_is_left_as_others_have_capacity_and_a_failing_one_at_once() -> None:
+    def load(open_attempts: float, spare_capacity: float, tally: Seen = HEALTHY) -> dict[str, Seen]:
+        return {"c": replace(tally, open_attempts=open_attempts, spare_capacity=spare_capacity)}
+
+    run = DecisionRun()
+    run.wait(60_000, load(20.0, 9.0), {"c": "leave"})
+    assert run.stages() == [(U, 0)]  # the order stands
+    run.wait(100, load(20.0, 10.0))
+    run.wait(60_000, load(10.0, 9.9))
+    assert run.stages()[1:] == [(L, 0)]
+    run.wait(TERMS.settle_ms, load(10.0, 10.0))
+    run.wait(TERMS.settle_ms, load(0.0, 0.0))
+    assert run.stages()[2:] == [(L, 1), (A, 0)]
+    failing = DecisionRun()
+    failing.wait(60_000, load(20.0, 0.0), {"c": "leave"})
+    failing.wait(400, load(20.0, 0.0, FAILING))
+    assert failing.stages() == [(U, 0), (L, 0), (L, 1), (A, 0)]
+
+
+def test_spare_capacity_is_that_of_the_zones_in_use_beyond_their_open_attempts() -> None:
+    usage = {"a": (1.0, 4.0), "b": (6.0, 5.0), "c": (2.0, 9.0)}
+    tally = tally_c(all_see(GOOD, OUTSIDE, usage=usage))
+    assert (tally.open_attempts, tally.spare_capacity) == (16.0, 24.0)
     away = Word(3, "a0", {"a": Zone(Stage.AWAY, epoch=3)})
-    assert said(all_say(GOOD, OUTSIDE, use=use), away).room == 0.0
+    assert tally_c(all_see(GOOD, OUTSIDE, usage=usage), away).spare_capacity == 0.0
 
 
-def test_an_epoch_never_goes_back_and_a_word_counts_for_so_long() -> None:
+def test_an_epoch_never_goes_back_and_a_decision_expires_without_contact() -> None:
     follower = Follower(TERMS)
     assert follower.hear(10, Word(3, "a0"))
     assert not follower.hear(20, Word(2, "b0")) and not follower.hear(30, Word(3, "b0"))
@@ -280,17 +295,17 @@
     assert not follower.lost(30 + TERMS.hold_ms) and follower.lost(31 + TERMS.hold_ms)
 
 
-def test_what_one_instance_tells_is_looked_up_and_what_two_tell_counts_while_the_store_is_away() -> None:
+def test_decisions_of_peers_are_adopted_only_from_two_and_only_without_the_store() -> None:
     follower = Follower(TERMS)
     for _ in range(2):
         assert not follower.tell(10, "a0", Word(2, "b1"), False)
     assert not follower.tell(10, "b0", Word(2, "liar"), False)
-    assert not follower.tell(10, "b0", Word(2, "b1"), True)  # the store can be asked
+    assert not follower.tell(10, "b0", Word(2, "b1"), True)  # the store can be read
     assert follower.tell(10, "b0", Word(2, "b1"), False) and follower.word == Word(2, "b1")
     assert not follower.tell(10, "b0", Word(2, "b1"), False) and follower.heard_at == 10
 
 
-def test_no_order_of_writers_losses_and_crashes_gives_two_words_one_epoch() -> None:
+def test_no_order_of_writes_losses_and_crashes_gives_two_decisions_one_epoch() -> None:
     found = walk(12_000)
     assert (found.why, found.states) == ("", 12_000), found.trace
 
@@ -316,7 +331,7 @@
 
 
 @pytest.mark.parametrize("fault", [no_compare, any_word, one_teller_is_believed, writer_believes_its_own])
-def test_a_guard_of_the_word_that_is_left_out_is_found(
+def test_the_search_finds_a_missing_safeguard_of_the_decision(
     monkeypatch: pytest.MonkeyPatch, fault: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     fault(monkeypatch)
