--- a/bench/zones.py
+++ b/bench/zones.py
@@ -29,7 +29,7 @@
 from lynxreel.local.by_etcd import with_word
 from lynxreel.local.zones import stages
 from lynxreel.standins.faults import Fault, Kind
-from lynxreel.zones.word import Terms
+from lynxreel.zones.word import DecisionSettings
 from mothgap.interface import Counter, Effect, Limits, Plan, RequestClass, Safety, Settings
 
 ZONES, LOST = 3, 2  # and the one that fails
@@ -141,7 +141,7 @@
             fall_span=2 * SECOND,
         ),
     )
-    terms = Terms() if how == "word" else None
+    terms = DecisionSettings() if how == "word" else None
     fleet = ZonedFleet(settings, gateways, ZONES, seed=seed, make=MAKE, work=WORK, terms=terms)
     fleet.load(RATE * gateways / MANY, 10 * gateways, START + 25 * SECOND, retries=1)
     fleet.run(5 * SECOND)
--- a/lynxreel/config/deploy.py
+++ b/lynxreel/config/deploy.py
@@ -192,9 +192,9 @@
         return None
     from lynxreel.zones.shell import Plan  # here: only where it is configured
     from lynxreel.zones.store import Plan as StorePlan
-    from lynxreel.zones.word import Terms
+    from lynxreel.zones.word import DecisionSettings
 
-    terms = Terms(
+    terms = DecisionSettings(
         leave_ms=entry.leave_ms,
         settle_ms=entry.settle_ms,
         back_ms=entry.back_ms,
--- a/lynxreel/emulator/zones.py
+++ b/lynxreel/emulator/zones.py
@@ -12,8 +12,8 @@
 from lynxreel.emulator.box import Make
 from lynxreel.emulator.fleet import Fleet, _Attempt, _Node
 from lynxreel.zones import evidence, word as words
-from lynxreel.zones.member import Action, Ask, Member, Say, Use
-from lynxreel.zones.word import Word
+from lynxreel.zones.member import Action, StoreRequest, Member, SendMessage, SetFractions
+from lynxreel.zones.word import ZoneDecision
 from mothgap import view
 from mothgap.interface import Result, Send, Settings, ZoneParts
 
@@ -32,14 +32,14 @@
         seed: int = 1,
         make: Make | None = None,
         work: int = 100_000,
-        terms: words.Terms | None = None,
-        eyes: evidence.Terms | None = None,
+        terms: words.DecisionSettings | None = None,
+        eyes: evidence.EvidenceSettings | None = None,
         way: tuple[int, int] = (300, 3_000),
     ) -> None:
         """`terms`: of the word, None where there is none; `way`: the microseconds of a message or a call."""
         super().__init__(settings, boxes, seed=seed, make=make, zones=zones, work=work)
         self.zones, self._way = zones, way
-        self.word = Word()  # as the store has it
+        self.word = ZoneDecision()  # as the store has it
         self.sent: Counter[tuple[str, int]] = Counter()  # attempts by box and second
         self.used: list[tuple[int, int, dict[str, float]]] = []  # when which gateway went by which parts
         self.said = 0  # messages
@@ -48,14 +48,15 @@
         self._numbers = {name: number for number, name in enumerate(places)}
         now = self.agenda.now // 1_000
         self.members = [
-            Member(name, places, terms or words.Terms(), eyes or evidence.Terms(), now) for name in places
+            Member(name, places, terms or words.DecisionSettings(), eyes or evidence.EvidenceSettings(), now)
+            for name in places
         ]
         listed = {name: f"z{line.zone}" for name, line in self.lines.items()}
         for member in self.members:
-            member.listed(listed)
+            member.set_boxes(listed)
         if terms is not None:
             for number, member in enumerate(self.members):
-                self._do(number, member.known([name for name in places if name != member.name], ()))
+                self._do(number, member.peers_changed([name for name in places if name != member.name], ()))
                 self.agenda.after(self.chance.randrange(LOOK), self._looks(number))
 
     @staticmethod
@@ -77,10 +78,10 @@
         def look() -> None:
             member, now = self.members[number], self.agenda.now // 1_000
             use = None
-            if member.wants_use(now):
+            if member.wants_usage(now):
                 found = view.use(self.nodes[number].module)
                 use = {f"z{zone}": (out, bears) for zone, (out, bears) in found.items()}
-            self._do(number, member.look(now, now, use))
+            self._do(number, member.tick(now, now, use))
             self.agenda.after(LOOK, look)
 
         return look
@@ -91,28 +92,28 @@
     def _do(self, number: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Say():
+                case SendMessage():
                     for name in action.to:
                         self.said += 1
                         self._say(number, self._numbers[name], action)
-                case Ask():
+                case StoreRequest():
                     self.asked += 1
                     self._ask(number, action)
-                case Use():
+                case SetFractions():
                     self.used.append((self.agenda.now, number, dict(action.parts)))
                     parts = tuple((int(zone[1:]), part) for zone, part in action.parts.items())
                     self.feed(number, ZoneParts(parts))
                 case _:
                     pass
 
-    def _say(self, speaker: int, hearer: int, action: Say) -> None:
+    def _say(self, speaker: int, hearer: int, action: SendMessage) -> None:
         def hear() -> None:
             now, name = self.agenda.now // 1_000, self._name(speaker)
-            self._do(hearer, self.members[hearer].heard(now, name, action.message))
+            self._do(hearer, self.members[hearer].receive(now, name, action.message))
 
         self._later(hear)
 
-    def _ask(self, number: int, asked: Ask) -> None:
+    def _ask(self, number: int, asked: StoreRequest) -> None:
         def arrive() -> None:
             if asked.follows is not None and asked.follows.epoch == self.word.epoch + 1:
                 self.word = asked.follows
@@ -121,8 +122,8 @@
 
         self._later(arrive)
 
-    def _stored(self, number: int, stands: Word) -> None:
-        self._do(number, self.members[number].stored(self.agenda.now // 1_000, stands))
+    def _stored(self, number: int, stands: ZoneDecision) -> None:
+        self._do(number, self.members[number].store_answered(self.agenda.now // 1_000, stands))
 
     def _send(self, gateway: int, node: _Node, action: Send) -> None:
         self.sent[action.server, self.agenda.now // SECOND] += 1
@@ -130,5 +131,5 @@
 
     def _told(self, gateway: int, attempt: _Attempt, how: Result, load: tuple[float, ...] = ()) -> None:
         if not attempt.over:
-            self.members[gateway].ended(self.agenda.now // 1_000, attempt.name, how)
+            self.members[gateway].attempt_ended(self.agenda.now // 1_000, attempt.name, how)
         super()._told(gateway, attempt, how, load)
--- a/lynxreel/standins/word_orders.py
+++ b/lynxreel/standins/word_orders.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from lynxreel.zones.word import Follower, Terms, Word, may_replace
+from lynxreel.zones.word import Follower, DecisionSettings, ZoneDecision, may_replace
 
 COUNT = 3
 LIAR = COUNT  # a fourth one, who only tells
@@ -69,18 +69,18 @@
 
 
 def _hear(instance: Instance, told: Told) -> Instance:
-    follower = Follower(Terms(), Word(*instance.word))
-    follower.hear(0, Word(*told))
-    return replace(instance, word=(follower.word.epoch, follower.word.writer))
+    follower = Follower(DecisionSettings(), ZoneDecision(*instance.word))
+    follower.adopt(0, ZoneDecision(*told))
+    return replace(instance, word=(follower.decision.epoch, follower.decision.writer))
 
 
 def _tell(instance: Instance, teller: int, told: Told) -> Instance:
     """The store is away for this one: it has nothing else to go by."""
-    known = {str(other): Word(*word) for other, word in instance.told}
-    follower = Follower(Terms(), Word(*instance.word), told=known)
-    follower.tell(0, str(teller), Word(*told), False)
-    kept = tuple(sorted((int(other), (word.epoch, word.writer)) for other, word in follower.told.items()))
-    return replace(instance, word=(follower.word.epoch, follower.word.writer), told=kept)
+    known = {str(other): ZoneDecision(*word) for other, word in instance.told}
+    follower = Follower(DecisionSettings(), ZoneDecision(*instance.word), received=known)
+    follower.receive_decision(0, str(teller), ZoneDecision(*told), False)
+    kept = tuple(sorted((int(other), (word.epoch, word.writer)) for other, word in follower.received.items()))
+    return replace(instance, word=(follower.decision.epoch, follower.decision.writer), told=kept)
 
 
 def _with(state: State, number: int, instance: Instance, **more: object) -> State:
@@ -99,7 +99,7 @@
         if own.writing is None and own.answer is None:
             yield f"{number} reads", _with(state, number, replace(own, answer=(revision, stored)))
             word = own.word[0] + 1, f"{number}/{state.deaths}"
-            if word[0] <= MOST and may_replace(own.known[0], Word(*word)):
+            if word[0] <= MOST and may_replace(own.known[0], ZoneDecision(*word)):
                 writes = replace(own, writing=word, expected=own.known[1])
                 yield f"{number} writes {word[0]}", _with(state, number, writes)
         elif own.writing is not None:
--- a/lynxreel/zones/evidence.py
+++ b/lynxreel/zones/evidence.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class EvidenceSettings:
     """Thresholds for the verdict on a zone. Times are microseconds."""
 
     answer_window: int = 2_000_000  # for which a box's answer counts
@@ -52,7 +52,7 @@
 class Evidence:
     """The results of one instance's attempts, by box and zone."""
 
-    def __init__(self, settings: Terms) -> None:
+    def __init__(self, settings: EvidenceSettings) -> None:
         self._settings = settings
         self._zones: Mapping[str, str] = {}
         self._sizes: dict[str, int] = {}
@@ -83,7 +83,7 @@
         """Discards all results of a zone."""
         self._last = {box: last for box, last in self._last.items() if last.zone != zone}
 
-    def stood(self, now: int) -> None:
+    def loop_stalled(self, now: int) -> None:
         """The event loop stalled: attempts that timed out meanwhile tell nothing about the boxes."""
         self._last.clear()
         self._blind_until = now + self._settings.blind_duration
@@ -115,7 +115,7 @@
             return dict.fromkeys(verdicts, Verdict.UNKNOWN)
         return verdicts
 
-    def since(self, now: int) -> dict[str, tuple[int, int]]:
+    def outage_durations(self, now: int) -> dict[str, tuple[int, int]]:
         """Returns the time without an answer and the time of failures, in microseconds, by observed zone."""
         answered, failing = dict[str, int](), dict[str, int]()
         for last in self._last.values():
--- a/lynxreel/zones/shell.py
+++ b/lynxreel/zones/shell.py
@@ -15,9 +15,19 @@
 from lynxreel.links.peers import News, State, Up
 from lynxreel.log import log
 from lynxreel.zones import evidence, word as words
-from lynxreel.zones.member import Action, Ahead, Ask, Line, Member, Note, Say, Told, Use
+from lynxreel.zones.member import (
+    Action,
+    Preconnect,
+    StoreRequest,
+    LogLine,
+    Member,
+    RecordEntry,
+    SendMessage,
+    DecisionMessage,
+    SetFractions,
+)
 from lynxreel.zones.store import Plan as StorePlan, Store
-from lynxreel.zones.word import Report, Word
+from lynxreel.zones.word import Report, ZoneDecision
 from mothgap.interface import ListKind, Members, Result, State as BoxState
 
 TICK_SECONDS = 0.05
@@ -31,8 +41,8 @@
 
     store: StorePlan
     names: dict[int, str]
-    terms: words.Terms = words.Terms()
-    evidence: evidence.Terms = evidence.Terms()
+    terms: words.DecisionSettings = words.DecisionSettings()
+    evidence: evidence.EvidenceSettings = evidence.EvidenceSettings()
 
 
 class Zones:
@@ -43,7 +53,7 @@
     ) -> None:
         self._plan, self._engine, self._servers, self._mesh, self._loop = plan, engine, servers, mesh, loop
         engine.on_attempt_ended = self._attempt_ended
-        mesh.join((Report, Told), self._receive, self._peers_changed)
+        mesh.join((Report, DecisionMessage), self._receive, self._peers_changed)
         places = {place.name: place.zone for place in (mesh.own, *mesh.places.values())}
         self._member = Member(mesh.own.name, places, plan.terms, plan.evidence, self._now())
         self._store = Store(plan.store)
@@ -61,7 +71,7 @@
         """Adopts the stored decision, or starts without it if the store does not answer in START_TIMEOUT."""
         with suppress(TimeoutError):
             async with asyncio.timeout(START_TIMEOUT):
-                self._act(self._member.stored(self._now(), await self._store.read()))
+                self._act(self._member.store_answered(self._now(), await self._store.read()))
         self._ticking = self._loop.create_task(self._tick())
 
     def close(self) -> None:
@@ -80,20 +90,20 @@
                 self._boxes[box.server] = self._plan.names[box.zone]
             else:
                 self._boxes.pop(box.server, None)
-        self._member.listed(self._boxes)
+        self._member.set_boxes(self._boxes)
 
     def _attempt_ended(self, box: str, result: Result) -> None:
-        self._member.ended(self._now(), box, result)
+        self._member.attempt_ended(self._now(), box, result)
 
     async def _tick(self) -> None:
         while True:
             due = self._loop.time() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
             if self._loop.time() - due > STALL_SECONDS:
-                self._member.evidence.stood(self._now() * 1_000)
+                self._member.evidence.loop_stalled(self._now() * 1_000)
             now = self._now()
-            usage = self._usage() if self._member.wants_use(now) else None
-            self._act(self._member.look(now, self._unix_ms(), usage))
+            usage = self._usage() if self._member.wants_usage(now) else None
+            self._act(self._member.tick(now, self._unix_ms(), usage))
 
     def _usage(self) -> dict[str, tuple[float, float]]:
         """Returns by zone the open attempts, and how many its boxes would take."""
@@ -109,48 +119,48 @@
     def _act(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Say():
+                case SendMessage():
                     for name in action.to:
                         self._mesh.say(name, action.message)
-                case Ask():
+                case StoreRequest():
                     self._requesting = self._loop.create_task(self._request(action))
-                case Use():
+                case SetFractions():
                     known = {zone: share for zone, share in action.parts.items() if zone in self._numbers}
                     self._engine.set_zone_fractions(
                         {self._numbers[zone]: share for zone, share in known.items()}
                     )
-                case Ahead():
+                case Preconnect():
                     self._servers.preconnect(action.boxes, action.count)
-                case Line():
+                case LogLine():
                     log(action.text)
-                case Note():
+                case RecordEntry():
                     self.note("zone", action.content)
 
-    async def _request(self, request: Ask) -> None:
-        in_store: Word | None
+    async def _request(self, request: StoreRequest) -> None:
+        in_store: ZoneDecision | None
         if request.follows is None:
             in_store = await self._store.read()
         else:
             in_store = await (self._store.restore if request.lost else self._store.replace)(request.follows)
-        self._member.away = self._store.away
-        self._act(self._member.stored(self._now(), in_store))
+        self._member.store_unavailable = self._store.away
+        self._act(self._member.store_answered(self._now(), in_store))
 
     # --- other instances --------------------------------------------------------------------------------
 
     def _receive(self, name: str, incarnation: int, message: Any) -> None:
-        self._act(self._member.heard(self._now(), name, message))
+        self._act(self._member.receive(self._now(), name, message))
 
     def _peers_changed(self, news: Iterable[News]) -> None:
         joined = [item.name for item in news if isinstance(item, Up)]
         peers = self._mesh.peers
         dead = [name for name, peer in peers.peers.items() if peer.state is State.DEAD]
-        self._act(self._member.known(peers.up(), dead, joined))
+        self._act(self._member.peers_changed(peers.up(), dead, joined))
 
     # --- operators --------------------------------------------------------------------------------------
 
     def told(self) -> dict[str, Any]:
         """Returns the decision, and by zone this instance's verdict, the reports and the fraction in use."""
-        return self._member.told(self._now())
+        return self._member.status(self._now())
 
     def order(self, zone: str, order: str, dry: bool) -> dict[str, Any]:
         """Takes an operator's order on a zone; returns what it changes now, or with `dry` would change."""
--- a/lynxreel/zones/store.py
+++ b/lynxreel/zones/store.py
@@ -9,7 +9,7 @@
 from lynxreel.etcd import rpc_pb2 as pb
 from lynxreel.etcd.client import Client, EtcdError, Options
 from lynxreel.log import log
-from lynxreel.zones.word import Word, may_replace
+from lynxreel.zones.word import ZoneDecision, may_replace
 
 
 @dataclass(frozen=True)
@@ -28,15 +28,15 @@
         self._last_read = 0, 0  # the decision's epoch and the key's revision at the last read
         self.away = False  # the last request failed
 
-    async def read(self) -> Word | None:
+    async def read(self) -> ZoneDecision | None:
         """Returns the stored decision, or None if the request failed."""
         return await self._transact(pb.TxnRequest(success=[self._range()]))
 
-    async def restore(self, decision: Word) -> Word | None:
+    async def restore(self, decision: ZoneDecision) -> ZoneDecision | None:
         """Writes back the decision that the store has lost; returns what is stored then, None on failure."""
         return await self._put(decision)
 
-    async def replace(self, decision: Word) -> Word | None:
+    async def replace(self, decision: ZoneDecision) -> ZoneDecision | None:
         """Replaces the stored decision by the next one; returns what is stored then, None on failure.
 
         If another instance has written meanwhile, its decision is kept and returned.
@@ -47,7 +47,7 @@
                 return in_store
         return await self._put(decision)
 
-    async def _put(self, decision: Word) -> Word | None:
+    async def _put(self, decision: ZoneDecision) -> ZoneDecision | None:
         _, revision = self._last_read
         unchanged = pb.Compare(
             key=self._key, target=pb.Compare.MOD, result=pb.Compare.EQUAL, mod_revision=revision
@@ -59,7 +59,7 @@
     def _range(self) -> pb.RequestOp:
         return pb.RequestOp(request_range=pb.RangeRequest(key=self._key))
 
-    async def _transact(self, request: pb.TxnRequest) -> Word | None:
+    async def _transact(self, request: pb.TxnRequest) -> ZoneDecision | None:
         try:
             response = await self._client.transact(request)
         except EtcdError as error:
@@ -71,9 +71,9 @@
         found = response.responses[-1].response_range.kvs
         if not found:
             self._last_read = 0, 0
-            return Word()
+            return ZoneDecision()
         try:
-            decision = msgspec.json.decode(found[0].value, type=Word)
+            decision = msgspec.json.decode(found[0].value, type=ZoneDecision)
         except msgspec.MsgspecError as error:
             log(f"the fleet's word on zones can't be read: {error}")
             return None
--- a/lynxreel/zones/word.py
+++ b/lynxreel/zones/word.py
@@ -3,8 +3,8 @@
 No I/O. A decision holds the stage of each zone, that is how far the zone is in use, and an epoch that only
 grows. An instance replaces the decision that it knows by one compare-and-set in the store, and all others
 adopt the result. So there is one writer at a time without a leader, and no two decisions share an epoch.
-`following` computes the next decision from the reports of the witnesses; all instances compute the same one,
-and take turns to write it.
+`next_decision` computes the next one from the reports of the witnesses; all instances compute the same, and
+take turns to write it.
 
     IN_USE -> LEAVING (steps) -> AWAY -> TRIAL -> RETURNING (steps) -> IN_USE
                                   ^---- failed, rests for longer ------'
@@ -40,7 +40,7 @@
     RETURNING = "returning"
 
 
-class Zone(msgspec.Struct, frozen=True):
+class ZoneState(msgspec.Struct, frozen=True):
     """The state of one zone in the decision. It travels as JSON under its field names."""
 
     stage: Stage = Stage.IN_USE
@@ -52,7 +52,7 @@
     why: str = ""
 
 
-class Word(msgspec.Struct, frozen=True):
+class ZoneDecision(msgspec.Struct, frozen=True):
     """The states of all zones; zones that are not listed are in use.
 
     It travels as JSON under its field names.
@@ -60,15 +60,15 @@
 
     epoch: int = 0
     writer: str = ""
-    zones: dict[str, Zone] = {}
+    zones: dict[str, ZoneState] = {}
 
-    def of(self, zone: str) -> Zone:
+    def of(self, zone: str) -> ZoneState:
         """Returns the state of a zone."""
-        return self.zones.get(zone, Zone())
+        return self.zones.get(zone, ZoneState())
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DecisionSettings:
     """Thresholds and pace of the zone decision. Times are milliseconds."""
 
     leave_steps: tuple[float, ...] = (0.5, 0.0)  # fractions of the zone in use while LEAVING
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReportTally:
     """The witnesses' reports on one zone, counted."""
 
     expected: int  # instances outside the zone that are not known to be dead
@@ -123,7 +123,7 @@
     open_attempts: float = 0.0  # that the reporting instances have in the zone
     spare_capacity: float = 0.0  # further attempts that the zones in use would take from them
 
-    def says_bad(self, settings: Terms) -> bool:
+    def is_failing(self, settings: DecisionSettings) -> bool:
         """Whether most witnesses see the zone fail, or, where few boxes are tried, none sees an answer."""
         if 2 * self.reporting <= self.expected or self.bad_zones < min(2, self.expected_zones):
             return False
@@ -134,7 +134,7 @@
         )
         return majority or (unanswered and not self.good_after_onset)
 
-    def says_good(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether some witnesses see the zone work, and at most a third as many see it fail."""
         return self.good > 0 and 3 * (self.bad + self.ill) <= self.good
 
@@ -145,21 +145,21 @@
         """
         return self.open_attempts * fraction <= self.spare_capacity
 
-    def falters(self) -> bool:
+    def fails_trial(self) -> bool:
         """Whether more witnesses see the zone fail than work, during a trial or a return."""
         return self.bad + self.ill > self.good
 
 
-def seen(
+def tally_reports(
     zone: str,
-    decision: Word,
+    decision: ZoneDecision,
     places: Mapping[str, str],
     dead: Iterable[str],
     reports: Mapping[str, Witness],
     now: int,
-    settings: Terms,
+    settings: DecisionSettings,
     load: bool = True,
-) -> Seen:
+) -> ReportTally:
     """Counts the reports on a zone. `places` has the zone of each instance of the fleet, this one included.
 
     `load`: whether to sum up open attempts and spare capacity as well, which doubles the cost. During TRIAL
@@ -198,7 +198,7 @@
     onset = sorted(onsets)[len(onsets) // 2] if onsets else 0
     good_after_onset = sum(answered > onset for answered in last_answers)
     expected_zones = len(set(outside.values()))
-    return Seen(
+    return ReportTally(
         len(outside),
         reporting,
         bad,
@@ -218,16 +218,21 @@
     return report.blind or (len(report.verdicts) > 1 and all(verdict == Verdict.BAD for verdict in verdicts))
 
 
-def following(
-    follower: Follower, tallies: Mapping[str, Seen], now: int, at: int, writer: str, orders: Mapping[str, str]
-) -> Word | None:
+def next_decision(
+    follower: Follower,
+    tallies: Mapping[str, ReportTally],
+    now: int,
+    at: int,
+    writer: str,
+    orders: Mapping[str, str],
+) -> ZoneDecision | None:
     """Returns the decision that replaces the follower's; None if nothing changes.
 
     `now` is milliseconds of the follower's clock, `at` of Unix time, `writer` the name of this instance.
     `orders` has the operators' new orders by zone; "" cancels an order.
     """
-    decision, settings = follower.word, follower.terms
-    changed: dict[str, Zone] = {}
+    decision, settings = follower.decision, follower.terms
+    changed: dict[str, ZoneState] = {}
     away = {zone for zone in tallies if _is_left(decision.of(zone))}
     for zone in sorted(tallies, key=lambda zone: (-tallies[zone].bad, zone)):
         before = decision.of(zone)
@@ -243,21 +248,23 @@
             changed[zone] = msgspec.structs.replace(after, epoch=decision.epoch + 1)
     if not changed:
         return None
-    return Word(decision.epoch + 1, writer, {**decision.zones, **changed})
+    return ZoneDecision(decision.epoch + 1, writer, {**decision.zones, **changed})
 
 
-def _is_left(zone: Zone) -> bool:
+def _is_left(zone: ZoneState) -> bool:
     return zone.stage is not Stage.IN_USE
 
 
-def _changed(zone: Zone, at: int, **changes: object) -> Zone:
+def _changed(zone: ZoneState, at: int, **changes: object) -> ZoneState:
     """Returns the state with these changes, begun at this Unix time in milliseconds."""
     return msgspec.structs.replace(zone, at=at, **changes)
 
 
-def _next_state(zone: Zone, tally: Seen, at: int, elapsed: int, settings: Terms, may_leave: bool) -> Zone:
+def _next_state(
+    zone: ZoneState, tally: ReportTally, at: int, elapsed: int, settings: DecisionSettings, may_leave: bool
+) -> ZoneState:
     """Returns the next state of a zone, `elapsed` milliseconds after its last change."""
-    fails = zone.hand != RETURN and tally.says_bad(settings)
+    fails = zone.hand != RETURN and tally.is_failing(settings)
     by_hand = zone.hand in (LEAVE, AT_ONCE)
     bad = fails or by_hand
     # A failing zone serves nobody; a healthy one is left at the pace that the other zones have capacity for.
@@ -282,13 +289,13 @@
             rest = min(settings.max_rest_ms, settings.rest_ms << min(zone.flaps, 10))
             if elapsed >= rest or zone.hand == RETURN:
                 return _changed(zone, at, stage=Stage.TRIAL, why="its rest is over")
-        case Stage.TRIAL | Stage.RETURNING if bad or (zone.hand != RETURN and tally.falters()):
+        case Stage.TRIAL | Stage.RETURNING if bad or (zone.hand != RETURN and tally.fails_trial()):
             failing = tally.bad + tally.ill
             why = "by hand" if by_hand else f"it faltered: {failing} see it fail, {tally.good} well"
             return _changed(zone, at, stage=Stage.AWAY, step=0, flaps=zone.flaps + 1, why=why)
-        case Stage.TRIAL if elapsed >= settings.trial_ms and tally.says_good():
+        case Stage.TRIAL if elapsed >= settings.trial_ms and tally.is_healthy():
             return _changed(zone, at, stage=Stage.RETURNING, step=0, why="its trial went well")
-        case Stage.RETURNING if elapsed >= settings.back_ms and tally.says_good():
+        case Stage.RETURNING if elapsed >= settings.back_ms and tally.is_healthy():
             if zone.step + 1 < len(settings.return_steps):
                 return _changed(zone, at, step=zone.step + 1)
             hand = "" if zone.hand == RETURN else zone.hand
@@ -298,7 +305,7 @@
     return zone
 
 
-def share(zone: Zone, rank: int, settings: Terms) -> float:
+def zone_fraction(zone: ZoneState, rank: int, settings: DecisionSettings) -> float:
     """Returns the fraction of a zone that an instance outside it uses.
 
     `rank` is the instance's position in the zone's order of the outside instances that are up.
@@ -316,7 +323,7 @@
             return 0.0
 
 
-def may_replace(read_epoch: int, decision: Word) -> bool:
+def may_replace(read_epoch: int, decision: ZoneDecision) -> bool:
     """Whether a decision may replace the one with the epoch that was last read from the store itself.
 
     An epoch that another instance sent does not count as read.
@@ -328,17 +335,19 @@
 class Follower:
     """The decision that one instance follows. Times are milliseconds of one monotonic clock."""
 
-    terms: Terms
-    word: Word = Word()
+    terms: DecisionSettings
+    decision: ZoneDecision = ZoneDecision()
     heard_at: int = 0  # last contact to the store or to another instance
     changed: dict[str, int] = field(default_factory=dict)  # when each zone's last change was adopted here
-    told: dict[str, Word] = field(default_factory=dict)  # the last decision that each other instance sent
+    received: dict[str, ZoneDecision] = field(
+        default_factory=dict
+    )  # the last decision that each other instance sent
 
     def passed(self, now: int, zone: str) -> int:
         """Returns the milliseconds since the last change of a zone was adopted here."""
         return now - self.changed.get(zone, -(10**9))
 
-    def tell(self, now: int, name: str, decision: Word, store: bool) -> bool:
+    def receive_decision(self, now: int, name: str, decision: ZoneDecision, store: bool) -> bool:
         """Handles a decision sent by another instance; returns True if it was adopted.
 
         `store`: the store can be read, and then only what it holds is adopted. Otherwise `least_witnesses`
@@ -346,25 +355,25 @@
         decision that was never written.
         """
         self.heard_at = now
-        if decision.epoch <= self.word.epoch:
-            self.told.pop(name, None)
+        if decision.epoch <= self.decision.epoch:
+            self.received.pop(name, None)
             return False
-        self.told[name] = decision
-        agreeing = sum(other == decision for other in self.told.values())
-        return not store and agreeing >= self.terms.least_witnesses and self.hear(now, decision)
+        self.received[name] = decision
+        agreeing = sum(other == decision for other in self.received.values())
+        return not store and agreeing >= self.terms.least_witnesses and self.adopt(now, decision)
 
-    def hear(self, now: int, decision: Word | None) -> bool:
+    def adopt(self, now: int, decision: ZoneDecision | None) -> bool:
         """Notes contact, and adopts the decision read from the store if it is later; True if it was adopted.
 
         `decision` is None where another instance was heard from and the store was not read.
         """
         self.heard_at = now
-        if decision is None or decision.epoch <= self.word.epoch:
+        if decision is None or decision.epoch <= self.decision.epoch:
             return False
         for zone in decision.zones:
-            if decision.zones[zone] != self.word.of(zone):
+            if decision.zones[zone] != self.decision.of(zone):
                 self.changed[zone] = now
-        self.word = decision
+        self.decision = decision
         return True
 
     def lost(self, now: int) -> bool:
--- a/tests/test_zone_faults.py
+++ b/tests/test_zone_faults.py
@@ -17,8 +17,8 @@
 from lynxreel.standins.faults import Fault, Kind
 from lynxreel.takeover.messages import KINDS
 from lynxreel.zones.evidence import Verdict
-from lynxreel.zones.member import Told
-from lynxreel.zones.word import Report, Stage, Word, Zone
+from lynxreel.zones.member import DecisionMessage
+from lynxreel.zones.word import Report, Stage, ZoneDecision, ZoneState
 from tests.fleet import run
 from tests.test_zones import GATEWAYS, LOST, Fleet, zoned
 
@@ -139,16 +139,16 @@
             ]
             incarnation = next_incarnation(tmp_path / own.name)
             mesh = Mesh(own, incarnation, others, asyncio.get_running_loop())
-            mesh.join((Report, Told, *KINDS), lambda *_: None, lambda _: None)
+            mesh.join((Report, DecisionMessage, *KINDS), lambda *_: None, lambda _: None)
             await mesh.open()
-            forged = Word(7, "g0", {zone: Zone(Stage.AWAY, 0, 7) for zone in ZONES})
+            forged = ZoneDecision(7, "g0", {zone: ZoneState(Stage.AWAY, 0, 7) for zone in ZONES})
 
             async def send_forged() -> None:
                 for failing in itertools.cycle((ZONES, ("z0",), ("z1",))):
                     verdicts = {zone: int(Verdict.BAD if zone in failing else Verdict.GOOD) for zone in ZONES}
                     for place in others:
                         mesh.say(place.name, Report(verdicts, False, 7))
-                        mesh.say(place.name, Told(forged))
+                        mesh.say(place.name, DecisionMessage(forged))
                     await asyncio.sleep(0.1)
 
             sending = asyncio.ensure_future(send_forged())
--- a/tests/test_zone_member.py
+++ b/tests/test_zone_member.py
@@ -5,8 +5,18 @@
 from lynxreel.emulator.zones import ZonedFleet
 from lynxreel.zones import evidence
 from lynxreel.zones.evidence import Verdict
-from lynxreel.zones.member import DOUBT, ORDERED, Action, Ask, Line, Member, Say, Told, Use
-from lynxreel.zones.word import LEAVE, Report, Stage, Terms, Word, Zone
+from lynxreel.zones.member import (
+    DISTRUST_MS,
+    ORDER_TIMEOUT_MS,
+    Action,
+    StoreRequest,
+    LogLine,
+    Member,
+    SendMessage,
+    DecisionMessage,
+    SetFractions,
+)
+from lynxreel.zones.word import LEAVE, Report, Stage, DecisionSettings, ZoneDecision, ZoneState
 from mothgap.interface import Counter, Effect, Limits, Plan, RequestClass, Result, Safety, Settings
 
 PLACES = {f"{zone}{n}": zone for zone in "abc" for n in range(2)}
@@ -15,9 +25,9 @@
 
 
 def make_member(name: str = "a0") -> Member:
-    member = Member(name, PLACES, Terms(), evidence.Terms(), 0)
-    member.listed(BOXES)
-    member.known([other for other in PLACES if other != name], ())
+    member = Member(name, PLACES, DecisionSettings(), evidence.EvidenceSettings(), 0)
+    member.set_boxes(BOXES)
+    member.peers_changed([other for other in PLACES if other != name], ())
     return member
 
 
@@ -25,79 +35,85 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def answer(member: Member, now: int, in_store: Word | None) -> list[Action]:
+def answer(member: Member, now: int, in_store: ZoneDecision | None) -> list[Action]:
     """Answers the open store request."""
-    return member.stored(now, in_store)
+    return member.store_answered(now, in_store)
 
 
 def test_it_reads_the_store_once_a_second_and_has_one_open_request() -> None:
     member = make_member()
-    asked = [now for now in range(1_000, 6_000, 50) if of_type(Ask, member.look(now, now))]
+    asked = [now for now in range(1_000, 6_000, 50) if of_type(StoreRequest, member.tick(now, now))]
     assert asked == [1_000]
-    answer(member, 6_000, Word())
-    assert of_type(Ask, member.look(6_000, 6_000)) == [Ask()]
+    answer(member, 6_000, ZoneDecision())
+    assert of_type(StoreRequest, member.tick(6_000, 6_000)) == [StoreRequest()]
 
 
 def test_a_peers_later_decision_causes_a_read_and_a_false_one_is_ignored_for_a_while() -> None:
     member = make_member()
-    member.look(1_000, 0)
-    answer(member, 1_001, Word())
-    later = Word(3, "b0", {"c": Zone(Stage.AWAY, epoch=3)})
-    assert member.heard(1_100, "b0", Told(later)) == [Ask()]
-    assert member.parts == {}  # not adopted before it is read from the store
+    member.tick(1_000, 0)
+    answer(member, 1_001, ZoneDecision())
+    later = ZoneDecision(3, "b0", {"c": ZoneState(Stage.AWAY, epoch=3)})
+    assert member.receive(1_100, "b0", DecisionMessage(later)) == [StoreRequest()]
+    assert member.fractions == {}  # not adopted before it is read from the store
     actions = answer(member, 1_102, later)
-    assert of_type(Use, actions) == [Use({"c": 0.0})] and not of_type(Say, actions)
-    assert member.heard(1_200, "b1", Told(Word(9, "b1"))) == [Ask()]
+    assert of_type(SetFractions, actions) == [SetFractions({"c": 0.0})] and not of_type(SendMessage, actions)
+    assert member.receive(1_200, "b1", DecisionMessage(ZoneDecision(9, "b1"))) == [StoreRequest()]
     (line,) = answer(member, 1_202, later)
-    assert isinstance(line, Line) and "b1 tells epoch 9" in line.text
-    assert member.heard(1_300, "b1", Told(Word(10, "b1"))) == []
-    assert member.heard(1_300, "b0", Told(Word(4, "b0"))) == [Ask()]
-    answer(member, 1_302, Word(4, "b0"))
-    assert member.heard(1_202 + DOUBT, "b1", Told(Word(11, "b1"))) == [Ask()]
+    assert isinstance(line, LogLine) and "b1 tells epoch 9" in line.text
+    assert member.receive(1_300, "b1", DecisionMessage(ZoneDecision(10, "b1"))) == []
+    assert member.receive(1_300, "b0", DecisionMessage(ZoneDecision(4, "b0"))) == [StoreRequest()]
+    answer(member, 1_302, ZoneDecision(4, "b0"))
+    assert member.receive(1_202 + DISTRUST_MS, "b1", DecisionMessage(ZoneDecision(11, "b1"))) == [
+        StoreRequest()
+    ]
 
 
 def test_a_decision_that_the_store_lost_is_written_back_once_for_each_read() -> None:
     member = make_member()
-    member.look(1_000, 0)
-    decision = Word(5, "b0", {"c": Zone(Stage.AWAY, epoch=5)})
+    member.tick(1_000, 0)
+    decision = ZoneDecision(5, "b0", {"c": ZoneState(Stage.AWAY, epoch=5)})
     answer(member, 1_001, decision)
-    member.look(2_000, 0)
-    assert of_type(Ask, answer(member, 2_001, Word())) == [Ask(decision, lost=True)]
-    assert not of_type(Ask, answer(member, 2_002, Word()))  # not again before the next read
-    member.look(3_000, 0)
-    assert of_type(Ask, answer(member, 3_001, Word())) == [Ask(decision, lost=True)]
-    assert not of_type(Ask, answer(member, 3_002, decision)) and member.follower.word == decision
+    member.tick(2_000, 0)
+    assert of_type(StoreRequest, answer(member, 2_001, ZoneDecision())) == [StoreRequest(decision, lost=True)]
+    assert not of_type(StoreRequest, answer(member, 2_002, ZoneDecision()))  # not again before the next read
+    member.tick(3_000, 0)
+    assert of_type(StoreRequest, answer(member, 3_001, ZoneDecision())) == [StoreRequest(decision, lost=True)]
+    assert not of_type(StoreRequest, answer(member, 3_002, decision)) and member.follower.decision == decision
 
 
 def test_an_instance_that_is_behind_for_a_second_is_sent_the_decision_again() -> None:
     member = make_member()
-    member.look(1_000, 0)
-    decision = Word(5, "b0")
+    member.tick(1_000, 0)
+    decision = ZoneDecision(5, "b0")
     answer(member, 1_001, decision)
     old = Report({"a": 1, "b": 1, "c": 1}, epoch=4)
-    assert member.heard(1_500, "c1", old) == []
-    assert member.heard(2_001, "c1", old) == [Say(("c1",), Told(decision))]
-    assert member.heard(2_100, "c1", Report({}, epoch=5)) == []
+    assert member.receive(1_500, "c1", old) == []
+    assert member.receive(2_001, "c1", old) == [SendMessage(("c1",), DecisionMessage(decision))]
+    assert member.receive(2_100, "c1", Report({}, epoch=5)) == []
 
 
 def test_an_order_overrides_one_in_progress_and_is_dropped_after_its_timeout() -> None:
     member = make_member()
-    member.look(1_000, 0)
-    answer(member, 1_001, Word())
+    member.tick(1_000, 0)
+    answer(member, 1_001, ZoneDecision())
     for name in PLACES:
-        member.heard(1_001, name, Report(dict.fromkeys("abc", int(Verdict.GOOD))))
+        member.receive(1_001, name, Report(dict.fromkeys("abc", int(Verdict.GOOD))))
     _, actions = member.order(1_010, 0, "c", "hold", False)
-    actions += member.look(1_050, 0)
-    (hold,) = of_type(Ask, actions)
-    assert isinstance(hold, Ask) and hold.follows is not None and hold.follows.of("c").hand == "hold"
+    actions += member.tick(1_050, 0)
+    (hold,) = of_type(StoreRequest, actions)
+    assert isinstance(hold, StoreRequest) and hold.follows is not None and hold.follows.of("c").hand == "hold"
     member.order(1_051, 0, "c", "", False)  # the hold is not stored yet: the known decision still has ""
     answer(member, 1_060, hold.follows)
-    (free,) = of_type(Ask, [*member.look(1_100, 0), *member.look(1_150, 0)])
-    assert isinstance(free, Ask) and free.follows is not None and free.follows.of("c").hand == ""
+    (free,) = of_type(StoreRequest, [*member.tick(1_100, 0), *member.tick(1_150, 0)])
+    assert isinstance(free, StoreRequest) and free.follows is not None and free.follows.of("c").hand == ""
     answer(member, 1_160, None)
     member.order(1_200, 0, "c", LEAVE, False)
-    lines = [line for now in range(1_250, 1_300 + ORDERED, 50) for line in of_type(Line, member.look(now, 0))]
-    assert any(isinstance(line, Line) and "could not be written" in line.text for line in lines)
+    lines = [
+        line
+        for now in range(1_250, 1_300 + ORDER_TIMEOUT_MS, 50)
+        for line in of_type(LogLine, member.tick(now, 0))
+    ]
+    assert any(isinstance(line, LogLine) and "could not be written" in line.text for line in lines)
 
 
 SETTINGS = Settings(
@@ -122,7 +138,7 @@
 
 @pytest.mark.parametrize("silent", [False, True])
 def test_thirty_gateways_leave_a_zone_within_300_ms_of_each_other_and_return(silent: bool) -> None:
-    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=Terms())
+    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=DecisionSettings())
     fleet.load(300.0, 300, fleet.agenda.now + 24 * SECOND, retries=1)
     fleet.run(5 * SECOND)
     assert fleet.word.epoch == 0
@@ -145,13 +161,13 @@
     fleet.revive(lost)
     fleet.run(15 * SECOND)
     assert fleet.word.of("z2").stage is Stage.IN_USE
-    assert all(member.parts == {} for member in fleet.members)
+    assert all(member.fractions == {} for member in fleet.members)
     assert fleet.books.problems == [], "each request had one answer in time, of a cold zone, too"
 
 
 def test_in_an_overload_of_all_zones_none_is_left() -> None:
     """The load is 1.5 times what all boxes can serve, so every zone answers late."""
-    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=Terms())
+    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=DecisionSettings())
     fleet.load(2_250.0, 900, fleet.agenda.now + 8 * SECOND)
     fleet.run(8 * SECOND)
     ends = fleet.books.ends
@@ -159,12 +175,12 @@
 
 
 def test_the_verdict_of_a_single_gateway_changes_nothing() -> None:
-    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=Terms())
+    fleet = ZonedFleet(SETTINGS, 30, 3, work=60 * MS, terms=DecisionSettings())
     for _ in range(60):
         fleet.run(50 * MS)
         for box in fleet.in_zone(2):
-            fleet.members[0].ended(fleet.agenda.now // 1_000, box, Result.TIMEOUT)
+            fleet.members[0].attempt_ended(fleet.agenda.now // 1_000, box, Result.TIMEOUT)
         for box in fleet.in_zone(1):
-            fleet.members[0].ended(fleet.agenda.now // 1_000, box, Result.OK)
+            fleet.members[0].attempt_ended(fleet.agenda.now // 1_000, box, Result.OK)
     assert fleet.members[0].evidence.verdicts(fleet.agenda.now)["z2"] is Verdict.BAD
     assert fleet.word.epoch == 0
--- a/tests/test_zone_word.py
+++ b/tests/test_zone_word.py
@@ -13,26 +13,26 @@
 from lynxreel.zones.word import (
     Follower,
     Report,
-    Seen,
+    ReportTally,
     Stage,
-    Terms,
+    DecisionSettings,
     Witness,
-    Word,
-    Zone,
-    following,
-    seen,
-    share,
+    ZoneDecision,
+    ZoneState,
+    next_decision,
+    tally_reports,
+    zone_fraction,
 )
 from mothgap.interface import Result
 
 MS = 1_000  # microseconds
-TERMS = Terms()
+TERMS = DecisionSettings()
 BAD, GOOD, ILL = int(Verdict.BAD), int(Verdict.GOOD), int(Verdict.ILL)
 
 
 def three_zones(boxes: int = 4) -> Evidence:
     """The evidence of an instance whose fleet has this many boxes in each of three zones."""
-    observer = Evidence(evidence.Terms())
+    observer = Evidence(evidence.EvidenceSettings())
     observer.listed({f"{zone}{n}": zone for zone in "abc" for n in range(boxes)})
     return observer
 
@@ -70,7 +70,7 @@
     assert set(observer.verdicts(1).values()) == {Verdict.UNKNOWN} and observer.blind(1)
     observer = three_zones()
     fail(observer, 0, *[f"a{n}" for n in range(4)])
-    observer.stood(1)
+    observer.loop_stalled(1)
     assert (
         observer.verdicts(2)["a"] is Verdict.UNKNOWN and observer.blind(2) and not observer.blind(2_000 * MS)
     )
@@ -97,7 +97,7 @@
     observer.ended(300 * MS, "a1", Result.FULL)
     fail(observer, 400 * MS, "a2", "b0")
     fail(observer, 600 * MS, "a2")
-    assert observer.since(1_000 * MS) == {"a": (700 * MS, 600 * MS), "b": (30_000 * MS, 600 * MS)}
+    assert observer.outage_durations(1_000 * MS) == {"a": (700 * MS, 600 * MS), "b": (30_000 * MS, 600 * MS)}
 
 
 def test_without_a_healthy_zone_none_is_bad() -> None:
@@ -113,15 +113,15 @@
 PLACES = {f"{zone}{n}": zone for zone in "abc" for n in range(4)}
 
 
-INITIAL = Word()
+INITIAL = ZoneDecision()
 
 
 def tally_c(
-    reports: dict[str, Report], decision: Word = INITIAL, dead: tuple[str, ...] = (), now: int = 0
-) -> Seen:
+    reports: dict[str, Report], decision: ZoneDecision = INITIAL, dead: tuple[str, ...] = (), now: int = 0
+) -> ReportTally:
     """The counted reports on zone c."""
     witnesses = {name: Witness(PLACES[name], report, 0) for name, report in reports.items()}
-    return seen("c", decision, PLACES, dead, witnesses, now, TERMS)
+    return tally_reports("c", decision, PLACES, dead, witnesses, now, TERMS)
 
 
 def all_see(verdict: int, names: list[str], **more: Any) -> dict[str, Report]:
@@ -157,31 +157,31 @@
     ],
 )
 def test_which_reports_make_a_zone_count_as_failing(reports: dict[str, Report], bad: bool) -> None:
-    assert tally_c(reports).says_bad(TERMS) is bad
+    assert tally_c(reports).is_failing(TERMS) is bad
 
 
 def test_dead_instances_are_not_expected_and_old_reports_do_not_count() -> None:
     few = all_see(BAD, [OUTSIDE[0], OUTSIDE[4]])
-    assert not tally_c(few).says_bad(TERMS)
-    assert tally_c(few, dead=tuple(OUTSIDE[1:4] + OUTSIDE[5:])).says_bad(TERMS)
-    assert not tally_c(all_see(BAD, OUTSIDE), now=TERMS.report_ttl_ms + 1).says_bad(TERMS)
-    tried = Word(7, "a0", {"c": Zone(Stage.TRIAL, epoch=7)})
+    assert not tally_c(few).is_failing(TERMS)
+    assert tally_c(few, dead=tuple(OUTSIDE[1:4] + OUTSIDE[5:])).is_failing(TERMS)
+    assert not tally_c(all_see(BAD, OUTSIDE), now=TERMS.report_ttl_ms + 1).is_failing(TERMS)
+    tried = ZoneDecision(7, "a0", {"c": ZoneState(Stage.TRIAL, epoch=7)})
     assert tally_c(all_see(BAD, OUTSIDE, epoch=6), tried).bad == 0  # from before the trial
     assert tally_c(all_see(BAD, OUTSIDE, epoch=7), tried).bad == 8
 
 
-HEALTHY, FAILING = Seen(8, 8, 0, 8, 0, 2), Seen(8, 8, 8, 0, 2, 2)
-NO_VERDICTS = Seen(8, 8, 0, 0, 0, 2)
+HEALTHY, FAILING = ReportTally(8, 8, 0, 8, 0, 2), ReportTally(8, 8, 8, 0, 2, 2)
+NO_VERDICTS = ReportTally(8, 8, 0, 0, 0, 2)
 
 
 class DecisionRun:
     """Applies successive decisions to one follower, on a simulated clock in milliseconds."""
 
-    def __init__(self, terms: Terms = TERMS) -> None:
+    def __init__(self, terms: DecisionSettings = TERMS) -> None:
         self.now, self.follower = 1_000_000, Follower(terms)
-        self.decisions: list[Word] = []
+        self.decisions: list[ZoneDecision] = []
 
-    def wait(self, ms: int, tallies: dict[str, Seen], orders: dict[str, str] | None = None) -> None:
+    def wait(self, ms: int, tallies: dict[str, ReportTally], orders: dict[str, str] | None = None) -> None:
         """Passes this time in steps of 50 ms; zones that `tallies` does not name are healthy."""
         for _ in range(ms // 50):
             self.now += 50
@@ -192,10 +192,10 @@
                 self.now,
                 "a0",
             )
-            decision = following(*given, orders or {})
+            decision = next_decision(*given, orders or {})
             if decision is not None:
-                assert decision.epoch == self.follower.word.epoch + 1
-                assert self.follower.hear(self.now, decision)
+                assert decision.epoch == self.follower.decision.epoch + 1
+                assert self.follower.adopt(self.now, decision)
                 self.decisions.append(decision)
 
     def stages(self, zone: str = "c") -> list[tuple[Stage, int]]:
@@ -213,9 +213,11 @@
     assert run.stages()[-1] == (A, 0)
     run.wait(20_000, {})
     assert run.stages()[3:] == [(T, 0), (R, 0), (R, 1), (R, 2), (U, 0)]
-    fractions = [share(decision.of("c"), 5, TERMS) for decision in run.decisions]
+    fractions = [zone_fraction(decision.of("c"), 5, TERMS) for decision in run.decisions]
     assert fractions == [0.5, 0.0, 0.0, 0.0, 0.1, 0.25, 0.5, 1.0]
-    assert share(run.decisions[3].of("c"), 1, TERMS) == TERMS.trial_fraction  # two instances run the trial
+    assert (
+        zone_fraction(run.decisions[3].of("c"), 1, TERMS) == TERMS.trial_fraction
+    )  # two instances run the trial
 
 
 def test_a_zone_rests_longer_after_each_failed_trial_and_its_flaps_reset_after_a_while() -> None:
@@ -240,7 +242,7 @@
     run.wait(3_000, {"c": FAILING, "b": FAILING})
     assert run.decisions[-1].of("b").stage is U
     both = DecisionRun()
-    both.wait(2_000, {"b": FAILING, "c": Seen(8, 8, 5, 2, 2, 2)})
+    both.wait(2_000, {"b": FAILING, "c": ReportTally(8, 8, 5, 2, 2, 2)})
     assert [both.decisions[-1].of(zone).stage is U for zone in "bc"] == [False, True]  # the worse one is left
 
 
@@ -261,7 +263,9 @@
 
 
 def test_a_healthy_zone_is_left_as_others_have_capacity_and_a_failing_one_at_once() -> None:
-    def load(open_attempts: float, spare_capacity: float, tally: Seen = HEALTHY) -> dict[str, Seen]:
+    def load(
+        open_attempts: float, spare_capacity: float, tally: ReportTally = HEALTHY
+    ) -> dict[str, ReportTally]:
         return {"c": replace(tally, open_attempts=open_attempts, spare_capacity=spare_capacity)}
 
     run = DecisionRun()
@@ -283,26 +287,28 @@
     usage = {"a": (1.0, 4.0), "b": (6.0, 5.0), "c": (2.0, 9.0)}
     tally = tally_c(all_see(GOOD, OUTSIDE, usage=usage))
     assert (tally.open_attempts, tally.spare_capacity) == (16.0, 24.0)
-    away = Word(3, "a0", {"a": Zone(Stage.AWAY, epoch=3)})
+    away = ZoneDecision(3, "a0", {"a": ZoneState(Stage.AWAY, epoch=3)})
     assert tally_c(all_see(GOOD, OUTSIDE, usage=usage), away).spare_capacity == 0.0
 
 
 def test_an_epoch_never_goes_back_and_a_decision_expires_without_contact() -> None:
     follower = Follower(TERMS)
-    assert follower.hear(10, Word(3, "a0"))
-    assert not follower.hear(20, Word(2, "b0")) and not follower.hear(30, Word(3, "b0"))
-    assert follower.word.writer == "a0"
+    assert follower.adopt(10, ZoneDecision(3, "a0"))
+    assert not follower.adopt(20, ZoneDecision(2, "b0")) and not follower.adopt(30, ZoneDecision(3, "b0"))
+    assert follower.decision.writer == "a0"
     assert not follower.lost(30 + TERMS.hold_ms) and follower.lost(31 + TERMS.hold_ms)
 
 
 def test_decisions_of_peers_are_adopted_only_from_two_and_only_without_the_store() -> None:
     follower = Follower(TERMS)
     for _ in range(2):
-        assert not follower.tell(10, "a0", Word(2, "b1"), False)
-    assert not follower.tell(10, "b0", Word(2, "liar"), False)
-    assert not follower.tell(10, "b0", Word(2, "b1"), True)  # the store can be read
-    assert follower.tell(10, "b0", Word(2, "b1"), False) and follower.word == Word(2, "b1")
-    assert not follower.tell(10, "b0", Word(2, "b1"), False) and follower.heard_at == 10
+        assert not follower.receive_decision(10, "a0", ZoneDecision(2, "b1"), False)
+    assert not follower.receive_decision(10, "b0", ZoneDecision(2, "liar"), False)
+    assert not follower.receive_decision(10, "b0", ZoneDecision(2, "b1"), True)  # the store can be read
+    assert follower.receive_decision(
+        10, "b0", ZoneDecision(2, "b1"), False
+    ) and follower.decision == ZoneDecision(2, "b1")
+    assert not follower.receive_decision(10, "b0", ZoneDecision(2, "b1"), False) and follower.heard_at == 10
 
 
 def test_no_order_of_writes_losses_and_crashes_gives_two_decisions_one_epoch() -> None:
@@ -315,15 +321,15 @@
 
 
 def any_word(patch: pytest.MonkeyPatch) -> None:
-    def tell(self: Follower, now: int, name: str, word: Word, store: bool) -> bool:
-        self.word = word
+    def receive_decision(self: Follower, now: int, name: str, decision: ZoneDecision, store: bool) -> bool:
+        self.decision = decision
         return True
 
-    patch.setattr(Follower, "tell", tell)
+    patch.setattr(Follower, "receive_decision", receive_decision)
 
 
 def one_teller_is_believed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(word_orders, "Terms", lambda: Terms(least_witnesses=1))
+    patch.setattr(word_orders, "DecisionSettings", lambda: DecisionSettings(least_witnesses=1))
 
 
 def writer_believes_its_own(patch: pytest.MonkeyPatch) -> None:
