--- a/lynxreel/node.py
+++ b/lynxreel/node.py
@@ -23,8 +23,8 @@
 from lynxreel.peers.datagrams import Peers
 from lynxreel.protocol.address import Address
 from lynxreel.relay.budget import Budget
-from lynxreel.sources.freshness import Terms as ListTerms
-from lynxreel.sources.platform import NOWHERE, Discovery
+from lynxreel.sources.freshness import WatchPolicy as ListTerms
+from lynxreel.sources.platform import NO_ADDRESS, Discovery
 from mothgap.interface import ClockShift, ListKind, Member, Members, PeerMessage, Settings, State
 from mothgap.settings import Names
 
@@ -35,11 +35,11 @@
     from lynxreel.links.mesh import Mesh
     from lynxreel.links.mesh import Plan as LinksPlan
     from lynxreel.membership.core import Publish
-    from lynxreel.metering.guarded import Guarded
+    from lynxreel.metering.guarded import MonitoredCounter
     from lynxreel.sources.etcd import EtcdList, EtcdSource
     from lynxreel.sources.files import FileList, WatchedFile
-    from lynxreel.takeover.cover import Cover
-    from lynxreel.takeover.cover import Plan as TakeoverPlan
+    from lynxreel.takeover.cover import TakeoverService
+    from lynxreel.takeover.cover import TakeoverPlan
     from lynxreel.zones.shell import Plan as ZonesPlan
     from lynxreel.zones.shell import Zones
 
@@ -114,19 +114,19 @@
         settings, names = deployment.settings, deployment.names
         wire = self._wire(deployment)
         budget = Budget(deployment.held)
-        self.servers = Servers(self.engine, settings, names.idle, servers, loop, wire, budget)
+        self.servers = Servers(self.engine, settings, names.idle_timeout, servers, loop, wire, budget)
         self.engine.backend = self.servers
         self.counter: Counter | RedisCounter | None = None
         self._counted_at: Address | Options | None = None
-        self.guard: Guarded | None = None
+        self.guard: MonitoredCounter | None = None
         self._count(deployment)
         self.mesh: Mesh | None = deployment.links.mesh(loop) if deployment.links is not None else None
-        self.cover: Cover | None = None
+        self.cover: TakeoverService | None = None
         if deployment.takeover is not None and self.mesh is not None:
-            from lynxreel.takeover.cover import Cover  # here: only where it is configured
+            from lynxreel.takeover.cover import TakeoverService  # here: only where it is configured
 
-            self.cover = Cover(deployment.takeover, self.engine, self.servers, self.mesh, loop)
-            self.cover.adopt(settings, deployment.places)
+            self.cover = TakeoverService(deployment.takeover, self.engine, self.servers, self.mesh, loop)
+            self.cover.apply_settings(settings, deployment.places)
         self.zones: Zones | None = None
         if deployment.zones is not None and self.mesh is not None:
             from lynxreel.zones.shell import Zones  # here: only where it is configured
@@ -157,7 +157,7 @@
 
     def _peer_said(self, message: PeerMessage) -> None:
         """What another gateway says."""
-        if self._fleet_clock is None or not self._fleet_clock.take(message):
+        if self._fleet_clock is None or not self._fleet_clock.on_message(message):
             self.engine.post(message)
 
     @staticmethod
@@ -193,7 +193,7 @@
     def _published(self, news: Publish) -> None:
         """What a membership core lets through."""
         names = self.deployment.names
-        lines = [(Member(number, State.GONE), NOWHERE) for number in news.gone]
+        lines = [(Member(number, State.GONE), NO_ADDRESS) for number in news.removed]
         for box in sorted(news.changed, key=lambda box: box.state is State.READY):  # drains first
             kind, zone = names.kinds.get(box.kind, 0), names.zones.get(box.zone, 0)
             member = Member(box.id, box.state, kind, zone, box.cell, box.started, box.weight)
@@ -220,18 +220,18 @@
         if told is None or address is None:
             return  # one that was called before still takes what is to be settled
         if isinstance(self.counter, Counter) and isinstance(address, tuple):
-            self.counter.move(address)  # its open calls end where they are
+            self.counter.set_address(address)  # its open calls end where they are
         elif self.counter is None or address != self._counted_at:
             self._connect(deployment, address, told.time_limit)
         if self.counter is not None:
-            self.counter.adopt(told.time_limit)
+            self.counter.set_time_limit(told.time_limit)
         self._counted_at = address
 
     def _connect(self, deployment: Deployment, address: Address | Options, time_limit: int) -> None:
         """Call another counter from now on."""
         if deployment.beat and self.guard is None:
             self.guard = self._guard(deployment, time_limit)
-        post = self.engine.post if self.guard is None else self.guard.heard
+        post = self.engine.post if self.guard is None else self.guard.on_answer
         before = self.counter
         if before is not None:
             before.close()
@@ -254,15 +254,15 @@
         """The clock that all gateways share, the counter's own or the fleet's, is so far ahead."""
         self.engine.post(ClockShift(offset))
 
-    def _guard(self, deployment: Deployment, time_limit: int) -> Guarded:
+    def _guard(self, deployment: Deployment, time_limit: int) -> MonitoredCounter:
         # Imported here: the platform's program has no guard, and does not pay for one.
-        from lynxreel.metering.guarded import Guarded
-        from lynxreel.metering.trust import Trust
+        from lynxreel.metering.guarded import MonitoredCounter
+        from lynxreel.metering.trust import CounterMonitor
 
         clock, settings = self.engine.clock, deployment.settings
         fall = FALL * settings.units_top
-        trust = Trust(secrets.randbits(36), time_limit, deployment.beat, fall, clock.now())
-        return Guarded(trust, self.engine.post, clock.now, self._loop)
+        trust = CounterMonitor(secrets.randbits(36), time_limit, deployment.beat, fall, clock.now())
+        return MonitoredCounter(trust, self.engine.post, clock.now, self._loop)
 
     async def start(self, patience: float | None = FIRST_NEWS) -> None:
         """Wait so many seconds, or for good, for news of the servers; then take clients.
@@ -296,14 +296,14 @@
         """Wait so many seconds, or for good, for news of the servers."""
         with suppress(TimeoutError):
             async with asyncio.timeout(patience):
-                await self.source.told.wait()
+                await self.source.ready.wait()
 
     async def _reach(self) -> None:
         """Wait a moment for the counter: calls before that fail, and a few of these count as its absence."""
         if isinstance(self.counter, Counter):
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_NEWS):
-                    await self.counter.up.wait()
+                    await self.counter.connected.wait()
 
     @property
     def lacks(self) -> str:
@@ -346,9 +346,9 @@
     def move(self, discovery: Address, counter: Address | None) -> None:
         """Go by other addresses."""
         if isinstance(self.source, Discovery):
-            self.source.move(discovery)
+            self.source.set_address(discovery)
         if isinstance(self.counter, Counter) and counter is not None:
-            self.counter.move(counter)
+            self.counter.set_address(counter)
 
     async def adopt(self, deployment: Deployment) -> None:
         """Go by another deployment, whole; on an OSError (an address is taken) nothing has changed."""
@@ -364,15 +364,15 @@
                     self.engine.set_ceiling_share(0.0)
                 self.engine.set_ceiling_share(deployment.part)
             self.engine.apply_settings(settings)
-            self.servers.apply_settings(settings, names.idle, servers)
+            self.servers.apply_settings(settings, names.idle_timeout, servers)
             if self.cover is not None:
-                self.cover.adopt(settings, deployment.places)
+                self.cover.apply_settings(settings, deployment.places)
             self.clients.adopt(self._terms(deployment), clients)
             if self.web is not None and deployment.http is not None:
                 self.web.adopt(deployment.http.serving)
             if isinstance(self.source, Discovery) and isinstance(deployment.discovery, tuple):
-                self.source.adopt(names, self._list_terms(settings))
-                self.source.move(deployment.discovery)
+                self.source.reconfigure(names, self._list_terms(settings))
+                self.source.set_address(deployment.discovery)
             self.deployment = deployment
             gone = [address for address in before if address not in deployment.listen]
             if gone:
@@ -422,7 +422,7 @@
             fronts.append(self.web.drain(times))
         await asyncio.gather(*fronts)
         if self.cover is not None:
-            await self.cover.leave()
+            await self.cover.hand_off()
 
     def boxes(self) -> dict[str, object]:
         """What is believed of the servers and why, for the operators."""
--- a/tests/test_broken_events.py
+++ b/tests/test_broken_events.py
@@ -16,7 +16,7 @@
 from lynxreel.relay.stream import Stream
 from mothgap.interface import Counted, EventError, Limits, ListKind, Members, Plan, Request, Result
 from mothgap.rules import Gateway
-from tests.helpers import CUSTOMER, ONCE, REPEATABLE, SECOND, SETTINGS, START, line
+from tests.helpers import CUSTOMER, ONCE, REPEATABLE, SECOND, SETTINGS, START, ready_server
 from tests.net import run
 
 MAX_STEPS = 12  # more than any scenario has
@@ -47,25 +47,25 @@
         if raises:
             raise InjectedError
 
-    def _count(self, *arguments: Any) -> None:
+    def _add_to_count(self, *arguments: Any) -> None:
         with self._step():
-            super()._count(*arguments)
+            super()._add_to_count(*arguments)
 
     def _set_timer(self, *arguments: Any) -> None:
         with self._step():
             super()._set_timer(*arguments)
 
-    def _ask(self, *arguments: Any) -> None:
+    def _ask_peers(self, *arguments: Any) -> None:
         with self._step():
-            super()._ask(*arguments)
+            super()._ask_peers(*arguments)
 
-    def _send(self, *arguments: Any) -> None:
+    def _send_to(self, *arguments: Any) -> None:
         with self._step():
-            super()._send(*arguments)
+            super()._send_to(*arguments)
 
-    def _end(self, *arguments: Any) -> None:
+    def _finish(self, *arguments: Any) -> None:
         with self._step():
-            super()._end(*arguments)
+            super()._finish(*arguments)
 
 
 class RecordingCall:
@@ -102,7 +102,7 @@
         self.calls: list[RecordingCall] = []
         self.written: set[Attempt] = set()
         self.spread = spread
-        self.engine.update_members(Members(ListKind.FULL, 1, (line(1), line(2))))
+        self.engine.update_members(Members(ListKind.FULL, 1, (ready_server(1), ready_server(2))))
 
     # Called by the engine.
 
@@ -245,9 +245,9 @@
             await finish(rig)
             await rig.settle()
             assert (
-                not rig.engine._requests and not rig.engine._ids_in_use and not module._jobs
+                not rig.engine._requests and not rig.engine._ids_in_use and not module._open_requests
             )  # nothing leaks
-            assert not any(server.out for server in module._servers.values())
+            assert not any(server.in_flight for server in module._servers.values())
             rig.tally.read({}, {})
             totals = dict(rig.tally.totals)
             assert totals.pop("taken") == sum(totals.values())
@@ -289,7 +289,7 @@
         call.served = broken  # type: ignore[method-assign, assignment]
         await rig.count()
         await rig.end(Result.OK)
-        assert not rig.engine._requests and not rig.engine._module._jobs
+        assert not rig.engine._requests and not rig.engine._module._open_requests
 
     run(run_scenario)
 
--- a/tests/test_zone_faults.py
+++ b/tests/test_zone_faults.py
@@ -15,7 +15,7 @@
 from lynxreel.local.by_etcd import listed
 from lynxreel.local.deployment import Gateway
 from lynxreel.standins.faults import Fault, Kind
-from lynxreel.takeover.messages import KINDS
+from lynxreel.takeover.messages import MESSAGE_TYPES
 from lynxreel.zones.evidence import Verdict
 from lynxreel.zones.member import DecisionMessage
 from lynxreel.zones.word import Report, Stage, ZoneDecision, ZoneState
@@ -139,7 +139,7 @@
             ]
             incarnation = next_incarnation(tmp_path / own.name)
             mesh = Mesh(own, incarnation, others, asyncio.get_running_loop())
-            mesh.join((Report, DecisionMessage, *KINDS), lambda *_: None, lambda _: None)
+            mesh.join((Report, DecisionMessage, *MESSAGE_TYPES), lambda *_: None, lambda _: None)
             await mesh.open()
             forged = ZoneDecision(7, "g0", {zone: ZoneState(Stage.AWAY, 0, 7) for zone in ZONES})
 
