--- a/lynxreel/links/mesh.py
+++ b/lynxreel/links/mesh.py
@@ -134,7 +134,7 @@
         body = self.encoder.encode(messages)
         return HEAD.pack(len(body)) + body
 
-    def say(self, name: str, message: Any) -> None:
+    def send(self, name: str, message: Any) -> None:
         """Sends a message at the end of this event loop iteration; drops it if there is no link."""
         if name not in self._outgoing:
             self.counts["dropped"] += 1
@@ -144,7 +144,7 @@
             self._flush_scheduled = True
             self.loop.call_soon(self.flush)
 
-    def say_idly(self, name: str, message: Any) -> None:
+    def send_deferred(self, name: str, message: Any) -> None:
         """Sends a message with the next one to the same instance, after at most MAX_DEFER seconds."""
         self._deferred.setdefault(name, []).append(message)
         if self._deferred_timer is None:
--- a/lynxreel/takeover/cover.py
+++ b/lynxreel/takeover/cover.py
@@ -345,7 +345,9 @@
         for action in actions:
             match action:
                 case SendMessage():
-                    (self.mesh.say_idly if action.deferrable else self.mesh.say)(action.to, action.message)
+                    (self.mesh.send_deferred if action.deferrable else self.mesh.send)(
+                        action.to, action.message
+                    )
                 case AnswerClient():
                     self.mesh.flush()  # the keeper's message is written before the client's answer
                     self._answer_client(action, at_hand)
--- a/lynxreel/zones/shell.py
+++ b/lynxreel/zones/shell.py
@@ -121,7 +121,7 @@
             match action:
                 case SendMessage():
                     for name in action.to:
-                        self._mesh.say(name, action.message)
+                        self._mesh.send(name, action.message)
                 case StoreRequest():
                     self._requesting = self._loop.create_task(self._request(action))
                 case SetFractions():
--- a/tests/test_zone_faults.py
+++ b/tests/test_zone_faults.py
@@ -147,8 +147,8 @@
                 for failing in itertools.cycle((ZONES, ("z0",), ("z1",))):
                     verdicts = {zone: int(Verdict.BAD if zone in failing else Verdict.GOOD) for zone in ZONES}
                     for place in others:
-                        mesh.say(place.name, Report(verdicts, False, 7))
-                        mesh.say(place.name, DecisionMessage(forged))
+                        mesh.send(place.name, Report(verdicts, False, 7))
+                        mesh.send(place.name, DecisionMessage(forged))
                     await asyncio.sleep(0.1)
 
             sending = asyncio.ensure_future(send_forged())
