--- a/lynxreel/records/__init__.py
+++ b/lynxreel/records/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance did, written down: counts, and the file that keeps them."""
+"""Records of an instance: request counts, and the file that counts and events are appended to."""
--- a/lynxreel/records/format.py
+++ b/lynxreel/records/format.py
@@ -1,8 +1,8 @@
-"""The record file's lines, without I/O: one JSON object each; a file's first line tells what the rest is.
+"""Format of the records file, without I/O: one JSON object per line, and a header as the first line.
 
-A prefix of a JSON object is never one itself, so a line that a death cut off can't pass for a whole one: it
-is counted as torn and passed over. Every line has `record`, one of KINDS, and in milliseconds `at` (Unix
-time) and `up` (since the start, on a clock that never steps).
+A proper prefix of a JSON object is never a valid JSON object, so a line that a crash truncated can't be taken
+for a complete one: it is counted as torn and skipped. Every line has `record`, one of KINDS, and two times in
+milliseconds: `at` (Unix time) and `up` (since the start, on a monotonic clock).
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
 
 def header(instance: str, pid: int) -> dict[str, Any]:
-    """The first line's content."""
+    """Return the content of the header, a file's first line."""
     return {"format": FORMAT, "version": VERSION, "instance": instance, "pid": pid, "kinds": KINDS}
 
 
 def encode(kind: str, at: int, up: int, content: dict[str, Any]) -> bytes:
-    """A line: times in milliseconds."""
+    """Return a record as one line; `at` and `up` are in milliseconds."""
     line = {"record": kind, "at": at, "up": up, **content}
     return json.dumps(line, separators=(",", ":"), ensure_ascii=True).encode() + b"\n"
 
 
 def decode(data: bytes) -> Iterator[dict[str, Any] | None]:
-    """Each line's content; None for one that is torn or no record."""
+    """Yield the content of each line that is not blank; None for one that is torn or not a record."""
     for line in data.split(b"\n"):
         if not line.strip(b"\0 \r"):
             continue
