--- a/lynxreel/operations/__init__.py
+++ b/lynxreel/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of operators' staff: what a line asks for and what is answered, and the listener for them."""
+"""Operator calls (READY, DRAIN, UNDRAIN): their interpretation and answers, and the listener for them."""
--- a/lynxreel/operations/calls.py
+++ b/lynxreel/operations/calls.py
@@ -1,33 +1,33 @@
-"""What a call asks of an instance, and its answer. No I/O: a life and a line in, an answer and deeds out."""
+"""Interprets operator calls, without I/O: takes the lifecycle and a line, returns the answer and actions."""
 
 from __future__ import annotations
 
 from lynxreel.daemon.lifecycle import Ask, Do, Life, State
 
-MOST_LINE = 256  # bytes; a longer one is no call
-NONE_IN_TIME = b"-ERR no call\r\n"  # for a caller that says nothing, or half of something, for too long
+MAX_LINE = 256  # bytes; a longer line is rejected
+NO_CALL = b"-ERR no call\r\n"  # the line is missing or incomplete at the timeout or at end of file
 TOO_LONG = b"-ERR no call is that long\r\n"
-ASKS = {b"DRAIN": Ask.DRAIN, b"UNDRAIN": Ask.UNDRAIN}
+COMMANDS = {b"DRAIN": Ask.DRAIN, b"UNDRAIN": Ask.UNDRAIN}
 
 
 def answer(life: Life, now: float, line: bytes, lacks: str = "") -> tuple[bytes, list[Do]]:
-    """Take one call; the line to send back, and what is to be done now. `now` is on the life's clock.
+    """Handle one call; return the line to send back and the actions to take. `now` is on the clock of `life`.
 
-    READY is true of an instance that takes clients and can serve them, so not of one that starts, is drained
-    or ends, or `lacks` something. DRAIN and UNDRAIN are fine as often as they come; one that ends can't be
-    taken back.
+    READY is answered with +OK by an instance that takes clients and can serve them: not while it starts, is
+    drained or shuts down, nor if `lacks` names something that is missing. DRAIN and UNDRAIN are idempotent;
+    an instance that shuts down can't be undrained.
     """
-    word = line.strip().upper()
-    if word == b"READY":
+    command = line.strip().upper()
+    if command == b"READY":
         if life.ready and lacks:
             return b"-ERR %b\r\n" % lacks.encode(), []
         return _line(life.ready, life.state), []
-    if (ask := ASKS.get(word)) is None:
+    if (ask := COMMANDS.get(command)) is None:
         return b"-ERR unknown call; there are READY, DRAIN, UNDRAIN\r\n", []
-    deeds = life.handle(now, ask)
-    # One that ends takes no clients any more, as DRAIN asks; nothing can make it come back.
-    return _line(ask is Ask.DRAIN or not life.ending, life.state), deeds
+    actions = life.handle(now, ask)
+    # An instance that shuts down takes no more clients, so DRAIN succeeds; UNDRAIN fails, as a stop is final.
+    return _line(ask is Ask.DRAIN or not life.ending, life.state), actions
 
 
-def _line(fine: bool, state: State) -> bytes:
-    return (b"+OK %b\r\n" if fine else b"-ERR %b\r\n") % state.value.encode()
+def _line(ok: bool, state: State) -> bytes:
+    return (b"+OK %b\r\n" if ok else b"-ERR %b\r\n") % state.value.encode()
