--- a/lynxreel/etcd/__init__.py
+++ b/lynxreel/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""etcd v3's published interface: its messages, and a client that does no more than sources need."""
+"""etcd v3: its protobuf messages, a small client, and a list-then-watch state machine."""
--- a/lynxreel/etcd/client.py
+++ b/lynxreel/etcd/client.py
@@ -1,7 +1,7 @@
-"""A client of etcd v3 on grpclib: pages of a range, one watch stream, one transaction; on the caller's loop.
+"""An asyncio client of etcd v3 on grpclib: paged ranges, a watch stream, transactions and lease grants.
 
-Failures are one kind, EtcdError, whose text names the cause. Nothing is tried again here, but a call whose
-token had expired: that is turned away before anything is done.
+Every failure is raised as an EtcdError whose text names the cause. Calls are not retried here, except one
+whose token has expired: etcd rejects it before anything is executed.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from lynxreel.etcd import rpc_pb2 as pb
 from lynxreel.protocol.address import Address
 
-PAGE = 500  # keys in a page of a list
-CALL_TIME = 5.0  # seconds for one call
+PAGE = 500  # keys per page of a list
+CALL_TIMEOUT = 5.0  # seconds, timeout of one call
 UNSURE = (Status.UNAVAILABLE, Status.DEADLINE_EXCEEDED, Status.UNKNOWN, Status.INTERNAL)
 Answer = TypeVar("Answer")
 
 
 class EtcdError(Exception):
-    """A call has failed. `unsure`: it may have been done all the same."""
+    """A call failed. `unsure`: it may have been executed nevertheless."""
 
     def __init__(self, why: str, unsure: bool = False) -> None:
         self.unsure = unsure
@@ -35,12 +35,12 @@
 
 
 class Compacted(EtcdError):
-    """The revision that was asked for is gone."""
+    """The requested revision has been compacted."""
 
 
 @dataclass(frozen=True)
 class Tls:
-    """Files in PEM; empty for none."""
+    """TLS settings: paths of PEM files, empty for none."""
 
     ca: str = ""
     certificate: str = ""
@@ -48,17 +48,17 @@
     server_name: str = ""
 
     def context(self) -> ssl.SSLContext:
-        """Raises OSError where a file can't be used."""
-        made = ssl.create_default_context(cafile=self.ca or None)
-        made.set_alpn_protocols(["h2"])
+        """Return the SSL context. Raises OSError if a file can't be used."""
+        context = ssl.create_default_context(cafile=self.ca or None)
+        context.set_alpn_protocols(["h2"])
         if self.certificate:
-            made.load_cert_chain(self.certificate, self.key or None)
-        return made
+            context.load_cert_chain(self.certificate, self.key or None)
+        return context
 
 
 @dataclass(frozen=True)
 class Options:
-    """How a cluster is reached."""
+    """Endpoints and credentials of a cluster."""
 
     endpoints: tuple[Address, ...]
     username: str = ""
@@ -67,19 +67,19 @@
 
 
 def after(prefix: bytes) -> bytes:
-    """The end of the range of all keys that begin so."""
-    kept = prefix.rstrip(b"\xff")
-    return kept[:-1] + bytes([kept[-1] + 1]) if kept else b"\0"
+    """Return the end of the range of all keys with this prefix."""
+    trimmed = prefix.rstrip(b"\xff")
+    return trimmed[:-1] + bytes([trimmed[-1] + 1]) if trimmed else b"\0"
 
 
 class Stream:
-    """An open watch."""
+    """An open watch stream."""
 
     def __init__(self, inner: Any) -> None:
         self._inner = inner
 
     async def receive(self) -> pb.WatchResponse:
-        """The next message. Raises EtcdError at the end of the stream."""
+        """Return the next message. Raises EtcdError at the end of the stream."""
         message = await self._inner.recv_message()
         if message is None:
             raise EtcdError("the stream has ended")
@@ -87,12 +87,12 @@
         return found
 
     async def ask(self) -> None:
-        """Have it tell its progress."""
+        """Request a progress notification."""
         await self._inner.send_message(pb.WatchRequest(progress_request=pb.WatchProgressRequest()))
 
 
 class Client:
-    """Calls the endpoints of one cluster, each over one connection."""
+    """Calls the endpoints of one cluster, with one connection per endpoint."""
 
     def __init__(self, options: Options) -> None:
         self._options = options
@@ -101,13 +101,13 @@
         self._token = ""
 
     def drop(self, endpoint: int) -> None:
-        """End the connection to an endpoint; the next call makes a new one."""
+        """Close the connection to an endpoint; the next call opens a new one."""
         channel = self._channels.pop(endpoint, None)
         if channel is not None:
             channel.close()
 
     def close(self) -> None:
-        """The end."""
+        """Close all connections."""
         for endpoint in list(self._channels):
             self.drop(endpoint)
 
@@ -121,78 +121,78 @@
 
     async def _metadata(self, endpoint: int) -> dict[str, str]:
         if self._options.username and not self._token:
-            asked = pb.AuthenticateRequest(name=self._options.username, password=self._options.password)
+            request = pb.AuthenticateRequest(name=self._options.username, password=self._options.password)
             call = UnaryUnaryMethod(
                 self._channel(endpoint),
                 "/etcdserverpb.Auth/Authenticate",
                 pb.AuthenticateRequest,
                 pb.AuthenticateResponse,
             )
-            self._token = (await call(asked, timeout=CALL_TIME)).token
+            self._token = (await call(request, timeout=CALL_TIMEOUT)).token
         return {"token": self._token} if self._token else {}
 
-    async def _call(self, endpoint: int, path: str, asked: Any, answer: type[Answer]) -> Answer:
-        async def once() -> Answer:
+    async def _call(self, endpoint: int, path: str, request: Any, answer: type[Answer]) -> Answer:
+        async def attempt() -> Answer:
             metadata = await self._metadata(endpoint)
-            method = UnaryUnaryMethod(self._channel(endpoint), path, type(asked), answer)
-            return await method(asked, timeout=CALL_TIME, metadata=metadata)
+            method = UnaryUnaryMethod(self._channel(endpoint), path, type(request), answer)
+            return await method(request, timeout=CALL_TIMEOUT, metadata=metadata)
 
-        async def twice() -> Answer:
+        async def attempt_with_token_renewal() -> Answer:
             try:
-                return await once()
-            except GRPCError as wrong:
-                if not expired(wrong):
+                return await attempt()
+            except GRPCError as error:
+                if not is_token_expired(error):
                     raise
                 self._token = ""
-                return await once()
+                return await attempt()
 
-        return await told(twice)
+        return await translate_errors(attempt_with_token_renewal)
 
     async def pages(
         self, endpoint: int, prefix: bytes, page: int = PAGE
     ) -> AsyncIterator[tuple[pb.ResponseHeader, list[pb.KeyValue]]]:
-        """All keys under a prefix, as of the revision of the first page's header."""
+        """Yield all keys under a prefix page by page, as of the revision in the first page's header."""
         key, end, revision = prefix, after(prefix), 0
         while True:
-            asked = pb.RangeRequest(key=key, range_end=end, limit=page, revision=revision)
-            found = await self._call(endpoint, "/etcdserverpb.KV/Range", asked, pb.RangeResponse)
+            request = pb.RangeRequest(key=key, range_end=end, limit=page, revision=revision)
+            found = await self._call(endpoint, "/etcdserverpb.KV/Range", request, pb.RangeResponse)
             revision = revision or found.header.revision
             yield found.header, list(found.kvs)
             if not found.more or not found.kvs:
                 return
             key = found.kvs[-1].key + b"\0"
 
-    async def transact(self, asked: pb.TxnRequest) -> pb.TxnResponse:
-        """One transaction, at the first endpoint that can be reached.
+    async def transact(self, request: pb.TxnRequest) -> pb.TxnResponse:
+        """Run a transaction at the first endpoint that can be reached.
 
-        After a failure in which it may have been done it is not sent to another one.
+        After a failure in which it may have been executed, it is not sent to another endpoint.
         """
-        problems = []
+        errors = []
         for endpoint in range(len(self._options.endpoints)):
             try:
-                return await self._call(endpoint, "/etcdserverpb.KV/Txn", asked, pb.TxnResponse)
-            except EtcdError as wrong:
-                if wrong.unsure:
+                return await self._call(endpoint, "/etcdserverpb.KV/Txn", request, pb.TxnResponse)
+            except EtcdError as error:
+                if error.unsure:
                     raise
                 host, port = self._options.endpoints[endpoint]
-                problems.append(f"{host}:{port}: {wrong}")
-        raise EtcdError("; ".join(problems))
+                errors.append(f"{host}:{port}: {error}")
+        raise EtcdError("; ".join(errors))
 
     async def grant(self, seconds: int) -> int:
-        """A lease of so many seconds, of the first endpoint that can be reached; its id."""
-        asked, problems = pb.LeaseGrantRequest(TTL=seconds), []
+        """Grant a lease of so many seconds at the first endpoint that can be reached; return its id."""
+        request, errors = pb.LeaseGrantRequest(TTL=seconds), []
         for endpoint in range(len(self._options.endpoints)):
             try:
                 path = "/etcdserverpb.Lease/LeaseGrant"
-                return (await self._call(endpoint, path, asked, pb.LeaseGrantResponse)).ID
-            except EtcdError as wrong:
-                problems.append(str(wrong))  # one that was granted and not told ends by itself
-        raise EtcdError("; ".join(problems))
+                return (await self._call(endpoint, path, request, pb.LeaseGrantResponse)).ID
+            except EtcdError as error:
+                errors.append(str(error))  # a lease that was granted without an answer expires by itself
+        raise EtcdError("; ".join(errors))
 
     @asynccontextmanager
     async def watch(self, endpoint: int, prefix: bytes, revision: int) -> AsyncIterator[Stream]:
-        """A stream of all changes under a prefix from a revision on."""
-        metadata = await told(lambda: self._metadata(endpoint))
+        """Open a stream of all changes under a prefix from a revision on."""
+        metadata = await translate_errors(lambda: self._metadata(endpoint))
         method = StreamStreamMethod(
             self._channel(endpoint), "/etcdserverpb.Watch/Watch", pb.WatchRequest, pb.WatchResponse
         )
@@ -204,43 +204,43 @@
                 await inner.send_message(pb.WatchRequest(create_request=create))
                 yield Stream(inner)
                 await inner.cancel()
-        except (GRPCError, StreamTerminatedError, ProtocolError, OSError) as wrong:
-            raise self._meant(wrong) from wrong
+        except (GRPCError, StreamTerminatedError, ProtocolError, OSError) as error:
+            raise self._translate(error) from error
 
-    def _meant(self, wrong: Exception) -> EtcdError:
-        if isinstance(wrong, GRPCError) and expired(wrong):
+    def _translate(self, error: Exception) -> EtcdError:
+        if isinstance(error, GRPCError) and is_token_expired(error):
             self._token = ""
-        return meaning(wrong)
+        return to_etcd_error(error)
 
     def forget_token(self) -> None:
-        """The next call asks for a new one."""
+        """Discard the token; the next call requests a new one."""
         self._token = ""
 
 
-def expired(wrong: GRPCError) -> bool:
-    """Whether a token is not taken any more, or was of another cluster."""
-    return wrong.status is Status.UNAUTHENTICATED or "invalid auth token" in (wrong.message or "")
+def is_token_expired(error: GRPCError) -> bool:
+    """Whether the token is no longer accepted, or belongs to another cluster."""
+    return error.status is Status.UNAUTHENTICATED or "invalid auth token" in (error.message or "")
 
 
-def meaning(wrong: Exception) -> EtcdError:
-    """What a library's error says of a call."""
-    if isinstance(wrong, GRPCError):
-        text = f"{wrong.status.name}: {wrong.message}"
-        if wrong.status is Status.OUT_OF_RANGE and "compacted" in text:
+def to_etcd_error(error: Exception) -> EtcdError:
+    """Return the EtcdError for an exception of the libraries."""
+    if isinstance(error, GRPCError):
+        text = f"{error.status.name}: {error.message}"
+        if error.status is Status.OUT_OF_RANGE and "compacted" in text:
             return Compacted(text)
-        # Of what etcd itself turns away nothing is done; of the rest that is not known.
-        unsure = wrong.status in UNSURE
+        # A call that etcd itself rejects was not executed; with the statuses in UNSURE that is not known.
+        unsure = error.status in UNSURE
         return EtcdError(text, unsure)
-    if isinstance(wrong, ssl.SSLError | ConnectionRefusedError):
-        return EtcdError(str(wrong))  # nothing was sent
-    if isinstance(wrong, TimeoutError):
+    if isinstance(error, ssl.SSLError | ConnectionRefusedError):
+        return EtcdError(str(error))  # nothing was sent
+    if isinstance(error, TimeoutError):
         return EtcdError("no answer in time", True)
-    return EtcdError(str(wrong) or type(wrong).__name__, True)
+    return EtcdError(str(error) or type(error).__name__, True)
 
 
-async def told(call: Callable[[], Awaitable[Answer]]) -> Answer:
-    """A call, its failures as EtcdError."""
+async def translate_errors(call: Callable[[], Awaitable[Answer]]) -> Answer:
+    """Make a call and raise its failures as EtcdError."""
     try:
         return await call()
-    except (GRPCError, StreamTerminatedError, ProtocolError, OSError) as wrong:
-        raise meaning(wrong) from wrong
+    except (GRPCError, StreamTerminatedError, ProtocolError, OSError) as error:
+        raise to_etcd_error(error) from error
--- a/lynxreel/etcd/listwatch.py
+++ b/lynxreel/etcd/listwatch.py
@@ -1,19 +1,20 @@
-"""List, then watch from there on: what to ask of which endpoint, and what its answers prove; without I/O.
+"""List-then-watch state machine, without I/O: what to request of which endpoint, and how to use the answers.
 
-All that is under a prefix is listed at one revision, and watched from the next one. What can go wrong:
+All keys under a prefix are listed at one revision, and watched from the next one. The failures it handles:
 
 - The stream breaks: it is opened again, at another endpoint if there is one, from the revision after the last
-  that was taken whole. Nothing is listed again.
-- That revision has been compacted: what was missed can't be told, so all is listed, and whoever takes it in
-  works out the difference.
-- The stream is open and silent: it is asked for its progress; no answer is a broken stream.
-- A revision split over several messages is held until the last of them.
-- A revision runs backwards, or the cluster is another one: a restored backup, or an endpoint that lags behind
-  or belongs elsewhere. All is listed, at each endpoint in turn. One that goes on from what is known is
-  believed; the odd one is taken once all are odd, or the others have been out of reach for long.
-
-Times are seconds on a clock that never steps. Waits before trying again are drawn, so that a fleet which lost
-its etcd does not come back in one moment.
+  one that was received in full. Nothing is listed again.
+- That revision has been compacted: the missed changes are not available, so everything is listed again, and
+  the receiver of the list works out the difference.
+- The stream is open and silent: a progress notification is requested; no answer counts as a broken stream.
+- A revision is split over several messages: it is buffered until the last of them.
+- The revision goes backwards, or the cluster ID differs: a restored backup, or an endpoint that lags behind
+  or belongs to another cluster. Everything is listed, at each endpoint in turn. An endpoint that continues
+  from the known revision is accepted; a conflicting one is accepted once all endpoints conflict, or the
+  others have been unreachable for `Times.doubt` seconds.
+
+Times are seconds on a monotonic clock. Retry delays are random, so that the instances of a fleet that lost
+its etcd do not all come back at the same moment.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """Who answered, and at which revision its store was."""
+    """Header of an answer: cluster and member IDs, and the revision of the member's store."""
 
     cluster: int
     member: int
@@ -37,17 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key as it stands. `value` is whatever the shell has made of it."""
+    """The current state of one key. `value` is the parsed value, of any type."""
 
     key: str
     value: object
-    revision: int  # of its last change
+    revision: int  # revision of the key's last change
     lease: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One key put, or deleted where there is no entry."""
+    """A key was put, or deleted if `entry` is None."""
 
     key: str
     revision: int
@@ -56,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class List:
-    """List all that there is, at this endpoint."""
+    """Action: list all keys under the prefix, at this endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Open a stream at this endpoint, from this revision on."""
+    """Action: open a watch stream at this endpoint, from this revision on."""
 
     endpoint: int
     revision: int
@@ -71,19 +72,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask the stream for its progress."""
+    """Action: request a progress notification on the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """End what is under way, and the connection."""
+    """Action: cancel the open list or stream, and close the connection to this endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """All that there is, as of a revision."""
+    """Action: deliver all entries as of a revision, replacing the earlier ones."""
 
     revision: int
     entries: Sequence[Entry]
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Whole revisions, in their order, up to this one."""
+    """Action: deliver the changes of complete revisions, in order, up to this revision."""
 
     revision: int
     changes: Sequence[Change]
@@ -99,12 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Alive:
-    """The source has been heard, with nothing new."""
+    """Action: note that the source has answered, with no changes to deliver."""
 
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """A line for the operators."""
+    """Action: write this line to the log."""
 
     text: str
 
@@ -114,18 +115,18 @@
 
 @dataclass(frozen=True)
 class Times:
-    """Seconds."""
+    """Timeouts and delays, in seconds."""
 
-    answer: float = 3.0  # for a list to go on, a stream to open, or to tell its progress
-    idle: float = 2.0  # without a word after which a stream is asked for its progress
-    again: float = 0.025  # the mean wait before trying again; each failure in a row doubles it...
+    answer: float = 3.0  # timeout of a list page, of opening a stream, and of a progress notification
+    idle: float = 2.0  # silence of a stream after which its progress is requested
+    again: float = 0.025  # mean retry delay; each consecutive failure doubles it...
     again_top: float = 1.0  # ...up to this
-    doubt: float = 30.0  # after which an endpoint that goes against what is known is taken, if alone
-    spread: float = 0.2  # over which a fleet spreads its lists after a compaction
+    doubt: float = 30.0  # how long a conflicting endpoint is refused if the others are unreachable
+    spread: float = 0.2  # max random delay of a list after a compaction, so that a fleet's lists are spread
 
 
 class Phase(Enum):
-    """What is under way."""
+    """The current step."""
 
     RESTING = "resting"
     LISTING = "listing"
@@ -134,158 +135,164 @@
 
 
 class ListWatch:
-    """One gateway's following of one prefix."""
+    """Follows one prefix on behalf of one gateway."""
 
-    def __init__(self, endpoints: int, random: Random, times: Times = Times()) -> None:
+    def __init__(self, endpoints: int, rng: Random, times: Times = Times()) -> None:
         self.phase = Phase.RESTING
         self.endpoint = 0
-        self.revision = -1  # up to which all is known; -1: nothing yet
-        self.lists = self.watches = 0  # so far
-        self._count, self._random, self._times = endpoints, random, times
+        self.revision = -1  # all changes up to this one are known; -1: nothing listed yet
+        self.lists = self.watches = 0  # number of lists and watch streams started so far
+        self._endpoint_count, self._rng, self._times = endpoints, rng, times
         self._cluster = 0
-        self._members: dict[int, int] = {}  # by endpoint
+        self._member_ids: dict[int, int] = {}  # member ID by endpoint
         self._list_next = True
         self._due = 0.0
-        self._asked = False
-        self._backoff = Backoff(times.again, times.again_top, random)
-        self._parts: list[Change] = []  # of a revision that is not whole yet
-        self._odd: set[int] = set()  # endpoints that went against what is known
-        self._odd_since = 0.0
+        self._progress_requested = False
+        self._backoff = Backoff(times.again, times.again_top, rng)
+        self._partial: list[Change] = []  # changes of a revision that is not complete yet
+        self._conflicting: set[int] = set()  # endpoints that conflict with the known cluster or revision
+        self._conflict_since = 0.0
 
     # --- events -----------------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """Begin, at an endpoint that is drawn: not all gateways at the same one."""
-        self.endpoint = self._random.randrange(self._count)
-        return self._go(now)
+        """Start at a random endpoint, so that not all gateways use the same one."""
+        self.endpoint = self._rng.randrange(self._endpoint_count)
+        return self._continue(now)
 
     def page(self, now: float) -> None:
-        """A list goes on."""
+        """A page of a list arrived: restart the timeout."""
         self._due = now + self._times.answer
 
     def listed(self, now: float, header: Header, entries: Sequence[Entry]) -> list[Action]:
-        """All pages of a list, as of the header's revision."""
-        if self._against(header) and not self._sure(now):
-            fresh = self.endpoint not in self._odd
-            self._odd.add(self.endpoint)
-            why = f"endpoint {self.endpoint} {self._why(header)}: the others are asked first"
-            self._next()
+        """All pages of a list arrived, as of the header's revision."""
+        if self._conflicts(header) and not self._may_accept(now):
+            is_new = self.endpoint not in self._conflicting
+            self._conflicting.add(self.endpoint)
+            why = f"endpoint {self.endpoint} {self._conflict_text(header)}: the others are tried first"
+            self._next_endpoint()
             waiting = self._rest(now, self._times.again_top, listing=True)
-            return [Said(why), *waiting] if fresh else waiting
-        told = []
-        if self._against(header):
-            told = [Said(f"{self._why(header)}: taken as a new start, as no endpoint knows better")]
-        elif self._odd:
-            told = [Said(f"endpoint {self.endpoint} goes on from revision {self.revision}: it is believed")]
-        self._odd.clear()
+            return [Said(why), *waiting] if is_new else waiting
+        logged = []
+        if self._conflicts(header):
+            logged = [
+                Said(
+                    f"{self._conflict_text(header)}: accepted, as no endpoint continues from the known state"
+                )
+            ]
+        elif self._conflicting:
+            logged = [Said(f"endpoint {self.endpoint} continues from revision {self.revision}: accepted")]
+        self._conflicting.clear()
         self._cluster, self.revision = header.cluster, header.revision
-        self._members[self.endpoint] = header.member
+        self._member_ids[self.endpoint] = header.member
         self._list_next = False
-        return [*told, Whole(header.revision, entries), *self._open(now)]
+        return [*logged, Whole(header.revision, entries), *self._open(now)]
 
     def created(self, now: float, header: Header) -> list[Action]:
-        """The stream is open. One from a revision that the store has yet to reach would wait in silence."""
-        if self._against(header):
-            return [Said(f"endpoint {self.endpoint} {self._why(header)}"), *self._list(now)]
-        if self._members.get(self.endpoint, header.member) != header.member:
+        """The stream is open. Lists instead if the store lags behind: the stream would stay silent."""
+        if self._conflicts(header):
+            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+        if self._member_ids.get(self.endpoint, header.member) != header.member:
             return [Said(f"endpoint {self.endpoint} is another member: listed anew"), *self._list(now)]
-        self._members[self.endpoint] = header.member
+        self._member_ids[self.endpoint] = header.member
         self.phase = Phase.WATCHING
-        self._hear(now)
+        self._on_message(now)
         return [Alive()]
 
     def changed(self, now: float, header: Header, changes: Sequence[Change], more: bool) -> list[Action]:
-        """A message of the stream; `more`: its last revision goes on in the next one."""
-        if self._against(header):
-            return [Said(f"endpoint {self.endpoint} {self._why(header)}"), *self._list(now)]
-        self._hear(now)
+        """A message of the stream; `more`: its last revision continues in the next message."""
+        if self._conflicts(header):
+            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+        self._on_message(now)
         self._backoff.worked()
-        self._parts += [change for change in changes if change.revision > self.revision]
-        if more or not self._parts:
+        self._partial += [change for change in changes if change.revision > self.revision]
+        if more or not self._partial:
             return [Alive()]
-        whole, self._parts = self._parts, []
-        self.revision = whole[-1].revision
-        return [Changes(self.revision, whole)]
+        complete, self._partial = self._partial, []
+        self.revision = complete[-1].revision
+        return [Changes(self.revision, complete)]
 
     def progress(self, now: float, header: Header) -> list[Action]:
-        """The stream has sent all up to the header's revision."""
-        if self._against(header):
-            return [Said(f"endpoint {self.endpoint} {self._why(header)}"), *self._list(now)]
-        self._hear(now)
+        """Progress notification: the stream has sent all changes up to the header's revision."""
+        if self._conflicts(header):
+            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+        self._on_message(now)
         self._backoff.worked()
-        if not self._parts:
+        if not self._partial:
             self.revision = max(self.revision, header.revision)
         return [Alive()]
 
     def compacted(self, now: float, at: int) -> list[Action]:
-        """What follows the last revision is gone up to another one."""
-        told = Said(f"revisions up to {at} are compacted, {self.revision} was the last known: listed anew")
-        wait = self._random.uniform(0, self._times.spread)
-        return [told, *self._rest(now, wait, listing=True)]
+        """The changes after the last known revision were compacted, up to revision `at`: list again."""
+        logged = Said(f"revisions up to {at} are compacted, {self.revision} was the last known: listed anew")
+        wait = self._rng.uniform(0, self._times.spread)
+        return [logged, *self._rest(now, wait, listing=True)]
 
     def failed(self, now: float, why: str) -> list[Action]:
-        """What was under way has ended: another endpoint is next, after a while."""
-        told = Said(f"endpoint {self.endpoint}: {why}")
+        """The list or stream failed: continue at the next endpoint, after a delay."""
+        logged = Said(f"endpoint {self.endpoint}: {why}")
         drop = Drop(self.endpoint)
-        self._next()
-        return [told, drop, *self._rest(now, self._backoff.wait(), listing=self._list_next)]
+        self._next_endpoint()
+        return [logged, drop, *self._rest(now, self._backoff.wait(), listing=self._list_next)]
 
     # --- time -------------------------------------------------------------------------------------------
 
     def due(self) -> float:
-        """When `tick` is wanted."""
+        """Return the time of the next `tick`."""
         return self._due
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Handle a timeout or the end of a delay, if due."""
         if now < self._due:
             return []
         if self.phase is Phase.RESTING:
-            return self._go(now)
-        if self.phase is Phase.WATCHING and not self._asked:
-            self._asked, self._due = True, now + self._times.answer
+            return self._continue(now)
+        if self.phase is Phase.WATCHING and not self._progress_requested:
+            self._progress_requested, self._due = True, now + self._times.answer
             return [Ask()]
         silent = f"{self.phase.value}, and no answer for {self._times.answer:g} s"
         return self.failed(now, silent)
 
     # --- steps ------------------------------------------------------------------------------------------
 
-    def _against(self, header: Header) -> bool:
+    def _conflicts(self, header: Header) -> bool:
         return self.revision >= 0 and (header.cluster != self._cluster or header.revision < self.revision)
 
-    def _sure(self, now: float) -> bool:
-        """Whether what goes against all that is known may be taken all the same."""
-        if not self._odd:
-            self._odd_since = now
-        again = self.endpoint in self._odd
-        return again and (len(self._odd) == self._count or now - self._odd_since >= self._times.doubt)
+    def _may_accept(self, now: float) -> bool:
+        """Whether an answer that conflicts with the known state may be accepted."""
+        if not self._conflicting:
+            self._conflict_since = now
+        again = self.endpoint in self._conflicting
+        return again and (
+            len(self._conflicting) == self._endpoint_count or now - self._conflict_since >= self._times.doubt
+        )
 
-    def _why(self, header: Header) -> str:
+    def _conflict_text(self, header: Header) -> str:
         if header.cluster != self._cluster:
             return f"is of cluster {header.cluster:x}, not {self._cluster:x}"
         return f"is at revision {header.revision}, after {self.revision}"
 
-    def _hear(self, now: float) -> None:
-        self._asked, self._due = False, now + self._times.idle
+    def _on_message(self, now: float) -> None:
+        self._progress_requested, self._due = False, now + self._times.idle
 
-    def _next(self) -> None:
-        self.endpoint = (self.endpoint + 1) % self._count
+    def _next_endpoint(self) -> None:
+        self.endpoint = (self.endpoint + 1) % self._endpoint_count
 
     def _rest(self, now: float, wait: float, listing: bool) -> list[Action]:
         self.phase, self._list_next, self._due = Phase.RESTING, listing, now + wait
-        self._parts = []
+        self._partial = []
         return []
 
-    def _go(self, now: float) -> list[Action]:
+    def _continue(self, now: float) -> list[Action]:
         return self._list(now) if self._list_next else self._open(now)
 
     def _list(self, now: float) -> list[Action]:
         self.phase, self._list_next, self._due = Phase.LISTING, True, now + self._times.answer
-        self._parts = []
+        self._partial = []
         self.lists += 1
         return [List(self.endpoint)]
 
     def _open(self, now: float) -> list[Action]:
-        self.phase, self._due, self._asked = Phase.OPENING, now + self._times.answer, False
+        self.phase, self._due, self._progress_requested = Phase.OPENING, now + self._times.answer, False
         self.watches += 1
         return [Watch(self.endpoint, self.revision + 1)]
