--- a/lynxreel/internal_errors.py
+++ b/lynxreel/internal_errors.py
@@ -1,6 +1,6 @@
-"""Exceptions that nothing expected: each is logged with its traceback and counted, and the process goes on.
+"""Unexpected exceptions: each is logged with its traceback and counted, and the process continues.
 
-A process whose count is not 0 has a fault, whatever its callers saw.
+A count above 0 means that the process has a bug, even if its callers saw no failure.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from lynxreel.log import log
 
 
-MARKS = ("internal error", "Traceback (most recent call last)")  # what a log holds of them
+MARKS = ("internal error", "Traceback (most recent call last)")  # texts that identify them in a log
 
 
 def count_errors(text: str) -> int:
-    """Lines of a process's log that tell of such an exception."""
+    """Return the number of lines in a process's log that contain one of MARKS."""
     return sum(any(mark in line for mark in MARKS) for line in text.splitlines())
 
 
 class InternalErrors:
-    """The count of one process."""
+    """Counts and logs the unexpected exceptions of a process."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def caught(self, error: BaseException, where: str) -> None:
-        """An exception was caught; `where` says in what."""
+        """Log and count an exception that was caught in `where`."""
         self.count += 1
         trace = "".join(traceback.format_exception(error)).rstrip()
         log(f"internal error in {where}:\n{trace}")
 
     def watch(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Take in what callbacks and tasks of a loop raise, too."""
+        """Also log and count what callbacks and tasks of this event loop raise."""
         loop.set_exception_handler(self._unhandled)
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/lynxreel/log.py
+++ b/lynxreel/log.py
@@ -1,28 +1,32 @@
-"""Lines for the operators, on standard error."""
+"""The log: lines on standard error, limited per second."""
 
 from __future__ import annotations
 
 import sys
 import time
 
-MOST = 20  # lines in a second: a peer that sends only what can't be read must not fill the log
+MAX_LINES_PER_SECOND = 20  # a peer that sends only unreadable messages must not fill the log
 
 
 class _Log:
-    """How much has been said in this second."""
+    """Writes log lines and counts them in each second."""
 
     def __init__(self) -> None:
-        self._second, self._said = 0, 0
+        self._second, self._lines = 0, 0
 
     def __call__(self, text: str) -> None:
-        """Say it, unless too much has been said."""
+        """Log a line, unless this second's limit is reached; dropped lines are counted and reported later."""
         now = int(time.monotonic())
         if now != self._second:
-            if self._said > MOST:
-                print(f"lynxreel: {self._said - MOST} more lines left out", file=sys.stderr, flush=True)
-            self._second, self._said = now, 0
-        self._said += 1
-        if self._said <= MOST:
+            if self._lines > MAX_LINES_PER_SECOND:
+                print(
+                    f"lynxreel: {self._lines - MAX_LINES_PER_SECOND} more lines left out",
+                    file=sys.stderr,
+                    flush=True,
+                )
+            self._second, self._lines = now, 0
+        self._lines += 1
+        if self._lines <= MAX_LINES_PER_SECOND:
             print(f"lynxreel: {text}", file=sys.stderr, flush=True)
 
 
--- a/lynxreel/transient.py
+++ b/lynxreel/transient.py
@@ -1,4 +1,4 @@
-"""Local resources that are short for a moment: the system call that wants them is made again."""
+"""Retries system calls that fail because local resources are short for a moment."""
 
 from __future__ import annotations
 
@@ -9,24 +9,29 @@
 
 from lynxreel.log import log
 
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # descriptors and memory, see accept(2)
-PAUSE = 0.05  # seconds between two tries
-PATIENCE = 5.0  # seconds of tries; a start may take 10 s
+SHORT = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # out of file descriptors or memory, see accept(2)
+RETRY_INTERVAL = 0.05  # seconds between two attempts
+RETRY_DURATION = 5.0  # seconds of retries; a start may take 10 s
 Result = TypeVar("Result")
 
 
 async def while_short(call: Callable[[], Result]) -> Result:
-    """What the call returns, made again while it fails for want of descriptors or memory.
+    """Make the call, retry it while file descriptors or memory are short, and return its result.
 
-    Raises its OSError at once where that has another cause, and after PATIENCE.
+    An OSError of any other cause is raised at once; one of a shortage after RETRY_DURATION.
     """
     loop = asyncio.get_running_loop()
-    last = loop.time() + PATIENCE
+    deadline = loop.time() + RETRY_DURATION
     while True:
         try:
             return call()
-        except OSError as wrong:
-            if wrong.errno not in SHORT or loop.time() >= last:
+        except OSError as error:
+            if error.errno not in SHORT or loop.time() >= deadline:
                 raise
-            log(f"tried again: {wrong.strerror}")
-        await asyncio.sleep(PAUSE)
+            log(f"tried again: {error.strerror}")
+        await asyncio.sleep(RETRY_INTERVAL)
--- a/tests/test_process_logs.py
+++ b/tests/test_process_logs.py
@@ -1,4 +1,4 @@
-"""Exceptions that nothing expected are logged, counted, and fail the test whose processes had them."""
+"""Unexpected exceptions are logged and counted, and fail the test whose processes raised them."""
 
 import asyncio
 import json
@@ -17,8 +17,8 @@
 from tests.net import run as run_soon
 from tests.test_process import Ended
 
-# Has the decision module of a process raise at the calls of one customer.
-BREAKS = """
+# Makes the decision module of a process raise an exception for the calls of one customer.
+BROKEN_RULES = """
 from mothgap import rules
 decide = rules.Gateway._on_request
 def broken(self, request):
@@ -30,12 +30,12 @@
 
 
 def broken_environment(folder: Path) -> dict[str, str]:
-    (folder / "sitecustomize.py").write_text(BREAKS)
+    (folder / "sitecustomize.py").write_text(BROKEN_RULES)
     return {"PYTHONPATH": f"{folder}:{Path(__file__).parent.parent}"}
 
 
 @pytest.mark.causes_internal_errors
-def test_an_instance_tells_its_internal_errors_everywhere_operators_look(
+def test_internal_errors_appear_in_state_fleet_view_and_records(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
@@ -49,8 +49,8 @@
             await told(gateway, internal_errors=1)
             assert await asyncio.to_thread(main, ["fleet", "--config", str(gateway.config)]) in (0, 1)
             assert json.loads(capsys.readouterr().out)["internal_errors"] == {"g0": 1}
-            words = ["counter", "inspect", "--config", str(gateway.config), "--plan", "standard", "66"]
-            assert await asyncio.to_thread(main, words) == 0
+            arguments = ["counter", "inspect", "--config", str(gateway.config), "--plan", "standard", "66"]
+            assert await asyncio.to_thread(main, arguments) == 0
             assert json.loads(capsys.readouterr().out)["instances"]["g0"]["internal_errors"] == 1
             assert list(deployment.internal_errors()) == ["g0"]
             deployment.do("stop", (0,))
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.causes_internal_errors
-def test_what_callbacks_and_tasks_raise_is_counted_and_logged(capfd: pytest.CaptureFixture[str]) -> None:
+def test_exceptions_in_callbacks_and_tasks_are_counted_and_logged(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario() -> None:
         before, loop = internal_errors.count, asyncio.get_running_loop()
         internal_errors.watch(loop)
@@ -79,9 +79,9 @@
         assert internal_errors.count - before == 2
 
     run_soon(scenario)
-    told = capfd.readouterr().err
-    assert "in a callback" in told and "in a task" in told
-    assert count_errors(told) >= 2
+    logged = capfd.readouterr().err
+    assert "in a callback" in logged and "in a task" in logged
+    assert count_errors(logged) >= 2
 
 
 def test_a_log_with_an_exception_is_found_in_files_and_pipes(tmp_path: Path) -> None:
@@ -97,8 +97,8 @@
     process_logs._written.clear()
 
 
-def test_a_local_day_with_an_internal_error_has_failed() -> None:
-    books: dict[str, Any] = dict.fromkeys(("lost", "duplicated", "late", "ran_twice", "bad_ends"), 0)
-    assert verdict({**books, "internal_errors": {}}) == 0
-    assert verdict({**books, "internal_errors": {"g0": 1}}) == 1
-    log("a line")  # of its own it is none
+def test_a_local_run_with_an_internal_error_fails() -> None:
+    ledger: dict[str, Any] = dict.fromkeys(("lost", "duplicated", "late", "ran_twice", "bad_ends"), 0)
+    assert verdict({**ledger, "internal_errors": {}}) == 0
+    assert verdict({**ledger, "internal_errors": {"g0": 1}}) == 1
+    log("a line")  # an ordinary log line is not an internal error
