--- a/lynxreel/takeover/actions.py
+++ b/lynxreel/takeover/actions.py
@@ -1,4 +1,4 @@
-"""What `Work` wants done: by the links, the engine, the fronts and the store. No I/O."""
+"""Actions that the takeover state machine asks the links, engine, fronts and store to perform. No I/O."""
 
 from __future__ import annotations
 
@@ -10,80 +10,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Tell another instance."""
+class SendMessage:
+    """Send a message to another instance."""
 
     to: str
     message: Message
-    idle: bool = False  # nobody waits for it
+    deferrable: bool = False  # nobody waits for it, so it may be sent later
 
 
 @dataclass(frozen=True, slots=True)
-class Go:
-    """The attempt may be made."""
+class AllowAttempt:
+    """Send the attempt that was announced."""
 
     id: bytes
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
-    """The attempt must not be made: it has never run."""
+class DenyAttempt:
+    """Don't send the attempt: it has never run."""
 
     id: bytes
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Carry:
-    """This instance is the owner now: go on with the request through the decision module."""
+class ResumeRequest:
+    """Resume a request that this instance owns now, through the decision module."""
 
     record: Record
-    left: int
-    counted: bool  # its units are on the counter
-    sent: bool  # and taken from its first owner's part of the ceiling
+    time_left: int
+    counted: bool  # its units have been added to the counter
+    sent: bool  # its units were also taken from the first owner's share of the ceiling
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
-    """A client that waits here gets its answer."""
+class AnswerClient:
+    """Answer a client that waits here."""
 
     token: int
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """Nobody was found to have what this client may have asked for before: it is a new request."""
+class StartRequest:
+    """Start a new request: nobody holds one under the key of this client."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
-    """Nobody here wants it any more. `moved`: another instance has it, with the units that it took."""
+class CancelRequest:
+    """Cancel a request that nobody here waits for. `moved`: another instance owns it and its units."""
 
     id: bytes
     moved: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """For the operators: a request has passed to this instance, or from this one to another."""
+class ReportTransfer:
+    """Report to operators that a request moved to this instance, or from this one to another."""
 
     id: bytes
     cls: str
     here: bool
-    other: str  # whose it was, if it is here now
-    how: str  # what became of it then
+    other: str  # the previous owner, if the request is here now
+    how: str  # what happened to the request then
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Write this instance's word about these copies, unless there is one; `word` follows."""
+class ProposeDecision:
+    """Write this instance's ownership decision on a pair's replicas, unless there is one already."""
 
     pair: Pair
-    owner: bool  # as the owner; else as the keeper
-
-
-Action: TypeAlias = Say | Go | Stay | Carry | Give | Begin | Leave | Passed | Ask
+    as_owner: bool  # as the owner; otherwise as the keeper
+
+
+Action: TypeAlias = (
+    SendMessage
+    | AllowAttempt
+    | DenyAttempt
+    | ResumeRequest
+    | AnswerClient
+    | StartRequest
+    | CancelRequest
+    | ReportTransfer
+    | ProposeDecision
+)
