--- a/lynxreel/daemon/instance.py
+++ b/lynxreel/daemon/instance.py
@@ -11,7 +11,7 @@
 from lynxreel.log import log
 from lynxreel.node import Node
 from lynxreel.operations.calls import answer
-from lynxreel.operations.desk import Desk
+from lynxreel.operations.desk import OperatorListener
 from lynxreel.protocol.address import Address
 
 
@@ -28,7 +28,7 @@
         self.node: Node  # set by whoever derives, before `live`
         self._events: asyncio.Queue[Event] = asyncio.Queue()
         self._postponed: list[Event] = []  # ends that were asked for while the listeners were being opened
-        self._desk: Desk | None = None
+        self._desk: OperatorListener | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def ask(self, ask: Ask) -> None:
@@ -37,7 +37,7 @@
 
     async def take_calls(self, listen: Address) -> Address:
         """Answer operators' calls there; where. Raises an OSError where the address is taken."""
-        self._desk = Desk(self.call, self.loop)
+        self._desk = OperatorListener(self.call, self.loop)
         return await self._desk.open(listen)
 
     def call(self, line: bytes) -> bytes:
--- a/lynxreel/operations/calls.py
+++ b/lynxreel/operations/calls.py
@@ -10,17 +10,17 @@
 COMMANDS = {b"DRAIN": Ask.DRAIN, b"UNDRAIN": Ask.UNDRAIN}
 
 
-def answer(life: Life, now: float, line: bytes, lacks: str = "") -> tuple[bytes, list[Do]]:
+def answer(life: Life, now: float, line: bytes, missing: str = "") -> tuple[bytes, list[Do]]:
     """Handle one call; return the line to send back and the actions to take. `now` is on the clock of `life`.
 
     READY is answered with +OK by an instance that takes clients and can serve them: not while it starts, is
-    drained or shuts down, nor if `lacks` names something that is missing. DRAIN and UNDRAIN are idempotent;
+    drained or shuts down, nor if `missing` names a missing resource. DRAIN and UNDRAIN are idempotent;
     an instance that shuts down can't be undrained.
     """
     command = line.strip().upper()
     if command == b"READY":
-        if life.ready and lacks:
-            return b"-ERR %b\r\n" % lacks.encode(), []
+        if life.ready and missing:
+            return b"-ERR %b\r\n" % missing.encode(), []
         return _line(life.ready, life.state), []
     if (ask := COMMANDS.get(command)) is None:
         return b"-ERR unknown call; there are READY, DRAIN, UNDRAIN\r\n", []
--- a/lynxreel/operations/desk.py
+++ b/lynxreel/operations/desk.py
@@ -19,7 +19,7 @@
 class _Caller(asyncio.Protocol):
     """One connection, for one call."""
 
-    def __init__(self, listener: Desk) -> None:
+    def __init__(self, listener: OperatorListener) -> None:
         self._listener, self._line = listener, b""
         self._timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport
@@ -57,7 +57,7 @@
         self._listener.callers.pop(self, None)
 
 
-class Desk:
+class OperatorListener:
     """The listener. Keeps at most MAX_CALLERS connections, so that callers can't use up file descriptors."""
 
     def __init__(self, answer: Answer, loop: asyncio.AbstractEventLoop) -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
 
 from lynxreel.daemon.lifecycle import Ask, Do, Life, ShutdownTimes, Started, State
 from lynxreel.operations.calls import MAX_LINE, answer
-from lynxreel.operations.desk import MAX_CALLERS, Desk
+from lynxreel.operations.desk import MAX_CALLERS, OperatorListener
 from tests.net import LOCAL, run
 from tests.test_process import GATEWAY, config, connect, free_port, start
 
@@ -73,7 +73,7 @@
             received.append(line)
             return b"+OK %b\r\n" % line
 
-        desk = Desk(reply, asyncio.get_running_loop())
+        desk = OperatorListener(reply, asyncio.get_running_loop())
         _, port = await desk.open((LOCAL, 0))
         await scenario(lambda: asyncio.open_connection(LOCAL, port), received)
         desk.close()
