--- a/lynxreel/backoff.py
+++ b/lynxreel/backoff.py
@@ -4,12 +4,12 @@
 
 import random
 
-FIRST = 0.05  # seconds of mean wait after one failure, per instance of the fleet: 20 calls a second in all
-MOST = 0.2  # the same after many failures: 5 calls a second from the whole fleet, whatever its size
-MIN_FIRST, MIN_MOST = 0.2, 1.0  # seconds, as lower bounds of both; small fleets cause little load
-MAX_MEAN_WAIT = 2.5  # seconds of mean wait in any fleet; with +50% at random and a call, within 6 s
-CROWDED_MOST = 8.0  # the same if calls keep being rejected: the service can then serve all instances in turn
-CROWDED_AFTER = 3  # calls rejected in a row before waits grow beyond MAX_MEAN_WAIT
+FIRST_WAIT_PER_INSTANCE = 0.05  # mean wait after one failure, s per instance of the fleet: 20 calls/s in all
+MAX_WAIT_PER_INSTANCE = 0.2  # the same after many failures: 5 calls/s from the whole fleet, any size
+MIN_FIRST_WAIT, MIN_MAX_WAIT = 0.2, 1.0  # seconds, as lower bounds of both; small fleets cause little load
+MAX_MEAN_WAIT = 2.5  # seconds of mean wait in any fleet; plus half of it at random and a call, within 6 s
+OVERLOADED_MAX_WAIT = 8.0  # the same if calls keep being rejected: all can then be served in turn
+OVERLOADED_AFTER = 3  # calls rejected in a row before waits grow beyond MAX_MEAN_WAIT
 
 
 class Backoff:
@@ -26,25 +26,25 @@
         """Use these mean waits from now on; the count of consecutive failures is kept."""
         self._first, self._max = first, max(first, most)
 
-    def wait(self, crowded_most: float = 0.0) -> float:
+    def wait(self, overloaded_max_wait: float = 0.0) -> float:
         """Count a failure and return the seconds until the next call: 0.5 to 1.5 times the mean.
 
-        `crowded_most` above 0: the call was rejected by an overloaded service; it is the largest mean wait in
-        seconds if rejections continue.
+        `overloaded_max_wait` above 0: the call was rejected by an overloaded service; it is the largest mean
+        wait, in seconds, if rejections continue.
         """
         mean = min(self._max, self._first * 2.0 ** min(self._failures, 32))
         self._failures += 1
-        self._rejections = self._rejections + 1 if crowded_most > 0 else 0
-        if self._rejections > CROWDED_AFTER and crowded_most > mean:
-            mean = min(crowded_most, mean * 2.0 ** min(self._rejections - CROWDED_AFTER, 32))
+        self._rejections = self._rejections + 1 if overloaded_max_wait > 0 else 0
+        if self._rejections > OVERLOADED_AFTER and overloaded_max_wait > mean:
+            mean = min(overloaded_max_wait, mean * 2.0 ** min(self._rejections - OVERLOADED_AFTER, 32))
         return mean * self._rng.uniform(0.5, 1.5)
 
-    def worked(self) -> None:
+    def reset(self) -> None:
         """Reset the failure counts after a successful call."""
         self._failures = self._rejections = 0
 
 
-def shared(fleet: int, ask_within: float = 0.0) -> tuple[float, float]:
+def fleet_mean_waits(fleet: int, ask_within: float = 0.0) -> tuple[float, float]:
     """Return the first and the largest mean wait in seconds, for a service that `fleet` instances call.
 
     Protects a service that rejects calls when it is overloaded: otherwise the instances of a fleet that lost
@@ -57,8 +57,8 @@
 
     `ask_within`: seconds in which an instance must have asked again; 0 for no such requirement.
     """
-    first = min(MAX_MEAN_WAIT, max(MIN_FIRST, FIRST * fleet))
-    most = min(MAX_MEAN_WAIT, max(MIN_MOST, MOST * fleet))
+    first = min(MAX_MEAN_WAIT, max(MIN_FIRST_WAIT, FIRST_WAIT_PER_INSTANCE * fleet))
+    most = min(MAX_MEAN_WAIT, max(MIN_MAX_WAIT, MAX_WAIT_PER_INSTANCE * fleet))
     if ask_within > 0:
         first, most = min(first, 0.3 * ask_within), min(most, 0.3 * ask_within)
     return first, most
--- a/lynxreel/etcd/client.py
+++ b/lynxreel/etcd/client.py
@@ -66,7 +66,7 @@
     tls: Tls | None = None
 
 
-def after(prefix: bytes) -> bytes:
+def prefix_range_end(prefix: bytes) -> bytes:
     """Return the end of the range of all keys with this prefix."""
     trimmed = prefix.rstrip(b"\xff")
     return trimmed[:-1] + bytes([trimmed[-1] + 1]) if trimmed else b"\0"
@@ -152,7 +152,7 @@
         self, endpoint: int, prefix: bytes, page: int = PAGE
     ) -> AsyncIterator[tuple[pb.ResponseHeader, list[pb.KeyValue]]]:
         """Yield all keys under a prefix page by page, as of the revision in the first page's header."""
-        key, end, revision = prefix, after(prefix), 0
+        key, end, revision = prefix, prefix_range_end(prefix), 0
         while True:
             request = pb.RangeRequest(key=key, range_end=end, limit=page, revision=revision)
             found = await self._call(endpoint, "/etcdserverpb.KV/Range", request, pb.RangeResponse)
@@ -197,7 +197,11 @@
             self._channel(endpoint), "/etcdserverpb.Watch/Watch", pb.WatchRequest, pb.WatchResponse
         )
         create = pb.WatchCreateRequest(
-            key=prefix, range_end=after(prefix), start_revision=revision, progress_notify=True, fragment=True
+            key=prefix,
+            range_end=prefix_range_end(prefix),
+            start_revision=revision,
+            progress_notify=True,
+            fragment=True,
         )
         try:
             async with method.open(metadata=metadata) as inner:
--- a/lynxreel/etcd/listwatch.py
+++ b/lynxreel/etcd/listwatch.py
@@ -11,7 +11,7 @@
 - The revision goes backwards, or the cluster ID differs: a restored backup, or an endpoint that lags behind
   or belongs to another cluster. Everything is listed, at each endpoint in turn. An endpoint that continues
   from the known revision is accepted; a conflicting one is accepted once all endpoints conflict, or the
-  others have been unreachable for `Times.doubt` seconds.
+  others have been unreachable for `Times.conflict_timeout` seconds.
 
 Times are seconds on a monotonic clock. Retry delays are random, so that the instances of a fleet that lost
 its etcd do not all come back at the same moment.
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestProgress:
     """Action: request a progress notification on the stream."""
 
 
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Snapshot:
     """Action: deliver all entries as of a revision, replacing the earlier ones."""
 
     revision: int
@@ -104,25 +104,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class LogMessage:
     """Action: write this line to the log."""
 
     text: str
 
 
-Action = List | Watch | Ask | Drop | Whole | Changes | Alive | Said
+Action = List | Watch | RequestProgress | Drop | Snapshot | Changes | Alive | LogMessage
 
 
 @dataclass(frozen=True)
 class Times:
     """Timeouts and delays, in seconds."""
 
-    answer: float = 3.0  # timeout of a list page, of opening a stream, and of a progress notification
-    idle: float = 2.0  # silence of a stream after which its progress is requested
-    again: float = 0.025  # mean retry delay; each consecutive failure doubles it...
-    again_top: float = 1.0  # ...up to this
-    doubt: float = 30.0  # how long a conflicting endpoint is refused if the others are unreachable
-    spread: float = 0.2  # max random delay of a list after a compaction, so that a fleet's lists are spread
+    answer_timeout: float = 3.0  # for a list page, for opening a stream, and for a progress notification
+    idle_timeout: float = 2.0  # silence of a stream after which its progress is requested
+    retry_delay: float = 0.025  # mean retry delay; each consecutive failure doubles it...
+    max_retry_delay: float = 1.0  # ...up to this
+    conflict_timeout: float = 30.0  # how long a conflicting endpoint is refused if the others are unreachable
+    max_list_delay: float = 0.2  # random delay after a compaction, so that a fleet's lists are spread
 
 
 class Phase(Enum):
@@ -148,7 +148,7 @@
         self._list_next = True
         self._due = 0.0
         self._progress_requested = False
-        self._backoff = Backoff(times.again, times.again_top, rng)
+        self._backoff = Backoff(times.retry_delay, times.max_retry_delay, rng)
         self._partial: list[Change] = []  # changes of a revision that is not complete yet
         self._conflicting: set[int] = set()  # endpoints that conflict with the known cluster or revision
         self._conflict_since = 0.0
@@ -162,7 +162,7 @@
 
     def page(self, now: float) -> None:
         """A page of a list arrived: restart the timeout."""
-        self._due = now + self._times.answer
+        self._due = now + self._times.answer_timeout
 
     def listed(self, now: float, header: Header, entries: Sequence[Entry]) -> list[Action]:
         """All pages of a list arrived, as of the header's revision."""
@@ -171,29 +171,31 @@
             self._conflicting.add(self.endpoint)
             why = f"endpoint {self.endpoint} {self._conflict_text(header)}: the others are tried first"
             self._next_endpoint()
-            waiting = self._rest(now, self._times.again_top, listing=True)
-            return [Said(why), *waiting] if is_new else waiting
+            waiting = self._rest(now, self._times.max_retry_delay, listing=True)
+            return [LogMessage(why), *waiting] if is_new else waiting
         logged = []
         if self._conflicts(header):
             logged = [
-                Said(
+                LogMessage(
                     f"{self._conflict_text(header)}: accepted, as no endpoint continues from the known state"
                 )
             ]
         elif self._conflicting:
-            logged = [Said(f"endpoint {self.endpoint} continues from revision {self.revision}: accepted")]
+            logged = [
+                LogMessage(f"endpoint {self.endpoint} continues from revision {self.revision}: accepted")
+            ]
         self._conflicting.clear()
         self._cluster, self.revision = header.cluster, header.revision
         self._member_ids[self.endpoint] = header.member
         self._list_next = False
-        return [*logged, Whole(header.revision, entries), *self._open(now)]
+        return [*logged, Snapshot(header.revision, entries), *self._open(now)]
 
     def created(self, now: float, header: Header) -> list[Action]:
         """The stream is open. Lists instead if the store lags behind: the stream would stay silent."""
         if self._conflicts(header):
-            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+            return [LogMessage(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
         if self._member_ids.get(self.endpoint, header.member) != header.member:
-            return [Said(f"endpoint {self.endpoint} is another member: listed anew"), *self._list(now)]
+            return [LogMessage(f"endpoint {self.endpoint} is another member: listed anew"), *self._list(now)]
         self._member_ids[self.endpoint] = header.member
         self.phase = Phase.WATCHING
         self._on_message(now)
@@ -202,9 +204,9 @@
     def changed(self, now: float, header: Header, changes: Sequence[Change], more: bool) -> list[Action]:
         """A message of the stream; `more`: its last revision continues in the next message."""
         if self._conflicts(header):
-            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+            return [LogMessage(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
         self._on_message(now)
-        self._backoff.worked()
+        self._backoff.reset()
         self._partial += [change for change in changes if change.revision > self.revision]
         if more or not self._partial:
             return [Alive()]
@@ -215,22 +217,24 @@
     def progress(self, now: float, header: Header) -> list[Action]:
         """Progress notification: the stream has sent all changes up to the header's revision."""
         if self._conflicts(header):
-            return [Said(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
+            return [LogMessage(f"endpoint {self.endpoint} {self._conflict_text(header)}"), *self._list(now)]
         self._on_message(now)
-        self._backoff.worked()
+        self._backoff.reset()
         if not self._partial:
             self.revision = max(self.revision, header.revision)
         return [Alive()]
 
     def compacted(self, now: float, at: int) -> list[Action]:
         """The changes after the last known revision were compacted, up to revision `at`: list again."""
-        logged = Said(f"revisions up to {at} are compacted, {self.revision} was the last known: listed anew")
-        wait = self._rng.uniform(0, self._times.spread)
+        logged = LogMessage(
+            f"revisions up to {at} are compacted, {self.revision} was the last known: listed anew"
+        )
+        wait = self._rng.uniform(0, self._times.max_list_delay)
         return [logged, *self._rest(now, wait, listing=True)]
 
     def failed(self, now: float, why: str) -> list[Action]:
         """The list or stream failed: continue at the next endpoint, after a delay."""
-        logged = Said(f"endpoint {self.endpoint}: {why}")
+        logged = LogMessage(f"endpoint {self.endpoint}: {why}")
         drop = Drop(self.endpoint)
         self._next_endpoint()
         return [logged, drop, *self._rest(now, self._backoff.wait(), listing=self._list_next)]
@@ -248,9 +252,9 @@
         if self.phase is Phase.RESTING:
             return self._continue(now)
         if self.phase is Phase.WATCHING and not self._progress_requested:
-            self._progress_requested, self._due = True, now + self._times.answer
-            return [Ask()]
-        silent = f"{self.phase.value}, and no answer for {self._times.answer:g} s"
+            self._progress_requested, self._due = True, now + self._times.answer_timeout
+            return [RequestProgress()]
+        silent = f"{self.phase.value}, and no answer for {self._times.answer_timeout:g} s"
         return self.failed(now, silent)
 
     # --- steps ------------------------------------------------------------------------------------------
@@ -264,7 +268,8 @@
             self._conflict_since = now
         again = self.endpoint in self._conflicting
         return again and (
-            len(self._conflicting) == self._endpoint_count or now - self._conflict_since >= self._times.doubt
+            len(self._conflicting) == self._endpoint_count
+            or now - self._conflict_since >= self._times.conflict_timeout
         )
 
     def _conflict_text(self, header: Header) -> str:
@@ -273,7 +278,7 @@
         return f"is at revision {header.revision}, after {self.revision}"
 
     def _on_message(self, now: float) -> None:
-        self._progress_requested, self._due = False, now + self._times.idle
+        self._progress_requested, self._due = False, now + self._times.idle_timeout
 
     def _next_endpoint(self) -> None:
         self.endpoint = (self.endpoint + 1) % self._endpoint_count
@@ -287,12 +292,16 @@
         return self._list(now) if self._list_next else self._open(now)
 
     def _list(self, now: float) -> list[Action]:
-        self.phase, self._list_next, self._due = Phase.LISTING, True, now + self._times.answer
+        self.phase, self._list_next, self._due = Phase.LISTING, True, now + self._times.answer_timeout
         self._partial = []
         self.lists += 1
         return [List(self.endpoint)]
 
     def _open(self, now: float) -> list[Action]:
-        self.phase, self._due, self._progress_requested = Phase.OPENING, now + self._times.answer, False
+        self.phase, self._due, self._progress_requested = (
+            Phase.OPENING,
+            now + self._times.answer_timeout,
+            False,
+        )
         self.watches += 1
         return [Watch(self.endpoint, self.revision + 1)]
--- a/lynxreel/local/by_etcd.py
+++ b/lynxreel/local/by_etcd.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lynxreel.etcd import rpc_pb2 as pb
-from lynxreel.etcd.client import after
+from lynxreel.etcd.client import prefix_range_end
 from lynxreel.local.deployment import Deployment
 from lynxreel.membership.core import Box
 from lynxreel.membership.document import write_box
@@ -62,7 +62,7 @@
     def under(self, key: str) -> list[pb.KeyValue]:
         """What there is below a part of the prefix."""
         name = f"{PREFIX}{key}".encode()
-        return list(self.etcd.store.range(pb.RangeRequest(key=name, range_end=after(name))).kvs)
+        return list(self.etcd.store.range(pb.RangeRequest(key=name, range_end=prefix_range_end(name))).kvs)
 
     def raw(self, key: str, value: bytes) -> int:
         """Put any value under the prefix; its revision."""
--- a/lynxreel/sources/etcd.py
+++ b/lynxreel/sources/etcd.py
@@ -19,7 +19,7 @@
 from lynxreel.etcd.client import Client, Compacted, EtcdError, Options, Stream
 from lynxreel.internal_errors import internal_errors
 from lynxreel.log import log
-from lynxreel.membership.core import Action, Guards, Membership, Publish, GuardMessage
+from lynxreel.membership.core import Action, GuardMessage, Guards, Membership, Publish
 from lynxreel.membership.keys import Keys
 
 BATCH_SIZE = 50  # values that are parsed between two yields to the event loop
@@ -81,19 +81,19 @@
                     self._start_task(self._list(endpoint))
                 case lw.Watch(endpoint=endpoint, revision=revision):
                     self._start_task(self._watch(endpoint, revision))
-                case lw.Ask():
+                case lw.RequestProgress():
                     self._loop.create_task(self._request_progress())
                 case lw.Drop(endpoint=endpoint):
                     self._stop_task()
                     self._client.drop(endpoint)
-                case lw.Whole(revision=revision, entries=entries):
+                case lw.Snapshot(revision=revision, entries=entries):
                     self._apply_full_list(revision, entries)
                 case lw.Changes(changes=changes):
                     self._add_changes(changes)
                 case lw.Alive():
                     self.refused = ""
                     self._publish_actions(self.membership.source_alive(self._loop.time()))
-                case lw.Said(text=text):
+                case lw.LogMessage(text=text):
                     self.refused = text
                     log(f"etcd: {text}")
         if self._timer is not None:
--- a/lynxreel/sources/freshness.py
+++ b/lynxreel/sources/freshness.py
@@ -13,9 +13,10 @@
   it has counts as announced to this instance, whether or not a watch is open. Until it answers, requests are
   repeated within a fraction of the drain grace, whatever the size of the fleet.
 - a service that the whole fleet calls, where a request may have to wait. There is one request at a time, and
-  the delay after a failure grows with failures and with the fleet (`backoff.shared`). After any failure,
-  requests are frequent enough for a change to arrive within 6 s of its being available: the silence timeout,
-  the reconnection span and one request together take less than that, and so do one delay and one request.
+  the delay after a failure grows with failures and with the fleet (`backoff.fleet_mean_waits`). After any
+  failure, requests are frequent enough for a change to arrive within 6 s of its being available: the silence
+  timeout, the reconnection span and one request together take less than that, and so do one delay and one
+  request.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lynxreel.backoff import CROWDED_MOST, Backoff, shared
+from lynxreel.backoff import OVERLOADED_MAX_WAIT, Backoff, fleet_mean_waits
 
 SILENCE_TIMEOUT = 2.5  # seconds without a whole line; heartbeats come every 2 s
 AGENT_RETRY_INTERVAL = 0.25  # seconds between requests to a silent agent; half of the usual drain grace
@@ -105,7 +106,7 @@
             *(
                 (AGENT_RETRY_DELAY, AGENT_RETRY_INTERVAL)
                 if policy.agent
-                else shared(policy.fleet_size, policy.ask_within)
+                else fleet_mean_waits(policy.fleet_size, policy.ask_within)
             )
         )
 
@@ -171,7 +172,7 @@
 
     def _schedule_retry(self, now: float, crowded: bool = False) -> None:
         """Schedule a retry, unless one is due sooner. `crowded`: the service rejected the request."""
-        at = now + self._backoff.wait(CROWDED_MOST if crowded and not self._policy.agent else 0.0)
+        at = now + self._backoff.wait(OVERLOADED_MAX_WAIT if crowded and not self._policy.agent else 0.0)
         if self._next_open is None or at < self._next_open:
             self._next_open = at
 
@@ -196,7 +197,7 @@
             [LogLine("the watch on discovery is open again")] if self._failure_logged else []
         )
         self._current, self._last_line_at, self._next_open, self._failure_logged = watch, now, None, False
-        self._backoff.worked()
+        self._backoff.reset()
         return [*logged, *(Close(other) for other in others)]
 
     def watch_ended(self, watch: int, how: End, now: float, why: str = "") -> list[Action]:
@@ -213,5 +214,5 @@
         """The address has changed: close pending watches. The current one stays until another has a line."""
         pending, self._next_open = list(self._pending), now
         self._pending.clear()
-        self._backoff.worked()  # no failures at the new address
+        self._backoff.reset()  # no failures at the new address
         return [Close(watch) for watch in pending]
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from lynxreel.backoff import CROWDED_MOST, MAX_MEAN_WAIT, MIN_MOST, Backoff, shared
+from lynxreel.backoff import MAX_MEAN_WAIT, MIN_MAX_WAIT, OVERLOADED_MAX_WAIT, Backoff, fleet_mean_waits
 
 CALL_TIMEOUT = 2.0  # seconds until a queued call times out
 WORK_PER_CALL = 0.2  # seconds: the service handles 5 calls a second, and queues one call per instance
 
 
 def backoff_of(fleet: int, seed: int | str, within: float = 0.0) -> Backoff:
-    return Backoff(*shared(fleet, within), random.Random(seed))
+    return Backoff(*fleet_mean_waits(fleet, within), random.Random(seed))
 
 
 class Service:
@@ -41,7 +41,7 @@
         if answered:
             recovered += 1
         else:
-            heapq.heappush(due, (known + waits[number].wait(CROWDED_MOST), number))
+            heapq.heappush(due, (known + waits[number].wait(OVERLOADED_MAX_WAIT), number))
     return recovered, service
 
 
@@ -55,11 +55,11 @@
 
 def test_waits_grow_with_each_failure_and_reset_after_an_answer() -> None:
     backoff = backoff_of(40, 1)
-    waits = [backoff.wait(CROWDED_MOST) for _ in range(12)]
-    assert all(CROWDED_MOST / 2 <= wait <= CROWDED_MOST * 1.5 for wait in waits[5:])
+    waits = [backoff.wait(OVERLOADED_MAX_WAIT) for _ in range(12)]
+    assert all(OVERLOADED_MAX_WAIT / 2 <= wait <= OVERLOADED_MAX_WAIT * 1.5 for wait in waits[5:])
     assert max(waits[:1]) < min(waits[5:])
-    backoff.worked()
-    assert backoff.wait(CROWDED_MOST) < min(waits[5:])
+    backoff.reset()
+    assert backoff.wait(OVERLOADED_MAX_WAIT) < min(waits[5:])
 
 
 def test_waits_exceed_the_limit_only_after_consecutive_rejections() -> None:
@@ -67,9 +67,9 @@
     for _ in range(20):  # a service that is unreachable, and then overloaded for a moment
         assert backoff.wait() <= 1.5 * MAX_MEAN_WAIT
     for _ in range(3):
-        assert backoff.wait(CROWDED_MOST) <= 1.5 * MAX_MEAN_WAIT
-    assert backoff.wait(CROWDED_MOST) >= MAX_MEAN_WAIT
-    assert max(backoff.wait(CROWDED_MOST) for _ in range(200)) > 1.3 * CROWDED_MOST
+        assert backoff.wait(OVERLOADED_MAX_WAIT) <= 1.5 * MAX_MEAN_WAIT
+    assert backoff.wait(OVERLOADED_MAX_WAIT) >= MAX_MEAN_WAIT
+    assert max(backoff.wait(OVERLOADED_MAX_WAIT) for _ in range(200)) > 1.3 * OVERLOADED_MAX_WAIT
     assert max(backoff.wait() for _ in range(20)) <= 1.5 * MAX_MEAN_WAIT
 
 
@@ -79,15 +79,15 @@
     assert firsts[-1] > 2 * firsts[0]
     for _ in range(2_000):
         assert waits[0].wait() <= 1.5 * MAX_MEAN_WAIT
-        assert waits[1].wait(CROWDED_MOST) <= 1.5 * CROWDED_MOST
+        assert waits[1].wait(OVERLOADED_MAX_WAIT) <= 1.5 * OVERLOADED_MAX_WAIT
 
 
 def test_a_small_fleet_retries_quickly_and_a_huge_one_within_the_limit() -> None:
     small, huge = backoff_of(1, 1), backoff_of(100_000, 1)
-    assert max(small.wait() for _ in range(20)) <= 1.5 * MIN_MOST
+    assert max(small.wait() for _ in range(20)) <= 1.5 * MIN_MAX_WAIT
     assert max(huge.wait() for _ in range(20)) <= 1.5 * MAX_MEAN_WAIT
-    huge.worked()
-    huge.adopt(*shared(1))
+    huge.reset()
+    huge.adopt(*fleet_mean_waits(1))
     assert huge.wait() < 1.0
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lynxreel.backoff import CROWDED_MOST, FIRST
+from lynxreel.backoff import FIRST_WAIT_PER_INSTANCE, OVERLOADED_MAX_WAIT
 from lynxreel.sources.freshness import (
     AGENT_RETRY_INTERVAL,
     SILENCE_TIMEOUT,
@@ -219,7 +219,7 @@
                     requests.append(now)
                     core.watch_ended(action.watch, End.REJECTED, now)
     later = [at for at in requests if 30.0 <= at < 60.0]
-    assert len(later) < 30 * max(5.0, fleet / CROWDED_MOST) * 1.5
+    assert len(later) < 30 * max(5.0, fleet / OVERLOADED_MAX_WAIT) * 1.5
 
 
 def first_line_after(core: Freshness, start: float, answer_delay: float) -> float:
@@ -322,7 +322,7 @@
         core.watch_ended(opened(core, now), End.REJECTED, now)
         due = core.due()
         assert due is not None
-        assert failures < 6 or due - now <= 1.5 * FIRST * 40
+        assert failures < 6 or due - now <= 1.5 * FIRST_WAIT_PER_INSTANCE * 40
         now = due
         if failures == 5:
             core.address_changed(now)
--- a/tests/test_listwatch.py
+++ b/tests/test_listwatch.py
@@ -4,7 +4,6 @@
 
 from lynxreel.etcd.listwatch import (
     Alive,
-    Ask,
     Change,
     Changes,
     Drop,
@@ -12,10 +11,11 @@
     Header,
     List,
     ListWatch,
+    LogMessage,
     Phase,
-    Said,
+    RequestProgress,
+    Snapshot,
     Watch,
-    Whole,
 )
 
 CLUSTER, OTHER_CLUSTER = 0xC1, 0xC2
@@ -39,7 +39,7 @@
     first = watcher.start(0.0)
     assert first == [List(watcher.endpoint)]
     listed = watcher.listed(0.0, Header(CLUSTER, watcher.endpoint + 1, revision), [entry("a", 3)])
-    assert listed == [Whole(revision, [entry("a", 3)]), Watch(watcher.endpoint, revision + 1)]
+    assert listed == [Snapshot(revision, [entry("a", 3)]), Watch(watcher.endpoint, revision + 1)]
     assert watcher.created(0.0, Header(CLUSTER, watcher.endpoint + 1, revision)) == [Alive()]
     return watcher
 
@@ -71,7 +71,7 @@
 def test_a_stream_that_breaks_within_a_revision_is_reopened_before_it() -> None:
     watcher = watching()
     watcher.changed(1.0, Header(CLUSTER, 1, 11), [put("a", 11)], True)
-    assert kinds(watcher.failed(1.0, "reset")) == [Said, Drop]
+    assert kinds(watcher.failed(1.0, "reset")) == [LogMessage, Drop]
     assert after_delay(watcher) == [Watch(0, 11)]
     assert watcher.created(2.0, Header(CLUSTER, 1, 11)) == [Alive()]
     assert watcher.changed(2.0, Header(CLUSTER, 1, 11), [put("a", 11), put("b", 11)], False) == [
@@ -82,13 +82,13 @@
 def test_a_broken_stream_is_reopened_at_the_next_endpoint_without_a_list() -> None:
     watcher = watching(endpoints=3)
     first = watcher.endpoint
-    assert kinds(watcher.failed(1.0, "reset")) == [Said, Drop]
+    assert kinds(watcher.failed(1.0, "reset")) == [LogMessage, Drop]
     assert after_delay(watcher) == [Watch((first + 1) % 3, 11)]
 
 
 def test_after_a_compaction_all_is_listed_after_a_short_random_delay() -> None:
     watcher = watching()
-    assert kinds(watcher.compacted(1.0, 40)) == [Said]
+    assert kinds(watcher.compacted(1.0, 40)) == [LogMessage]
     assert 1.0 <= watcher.due() <= 1.2
     assert after_delay(watcher) == [List(0)]
 
@@ -96,15 +96,15 @@
 def test_a_silent_stream_is_asked_for_progress_and_then_dropped() -> None:
     watcher = watching(endpoints=2)
     assert watcher.tick(1.9) == []
-    assert watcher.tick(2.0) == [Ask()]
+    assert watcher.tick(2.0) == [RequestProgress()]
     assert watcher.tick(4.9) == []
-    assert kinds(watcher.tick(5.0)) == [Said, Drop]
+    assert kinds(watcher.tick(5.0)) == [LogMessage, Drop]
     assert kinds(after_delay(watcher)) == [Watch]
 
 
 def test_a_progress_notification_advances_the_revision() -> None:
     watcher = watching()
-    assert watcher.tick(2.0) == [Ask()]
+    assert watcher.tick(2.0) == [RequestProgress()]
     assert watcher.progress(2.1, Header(CLUSTER, 1, 400)) == [Alive()]
     assert watcher.tick(4.0) == []
     watcher.failed(4.0, "reset")
@@ -114,7 +114,7 @@
 def test_a_list_without_an_answer_is_dropped() -> None:
     watcher = ListWatch(1, Random(1))
     watcher.start(0.0)
-    assert kinds(watcher.tick(3.0)) == [Said, Drop]
+    assert kinds(watcher.tick(3.0)) == [LogMessage, Drop]
     assert after_delay(watcher) == [List(0)]
     watcher.page(4.0)
     assert watcher.tick(6.9) == []  # a long list whose pages keep arriving does not time out
@@ -150,7 +150,7 @@
     watcher = watching()
     watcher.failed(1.0, "reset")
     after_delay(watcher)
-    assert kinds(watcher.created(1.1, Header(CLUSTER, 1, 7))) == [Said, List]
+    assert kinds(watcher.created(1.1, Header(CLUSTER, 1, 7))) == [LogMessage, List]
 
 
 def test_a_restored_backup_is_accepted_once_all_endpoints_conflict() -> None:
@@ -159,12 +159,12 @@
     after_delay(watcher)
     first = watcher.endpoint
     watcher.created(1.1, Header(CLUSTER, 9, 7))
-    assert kinds(watcher.listed(1.2, Header(CLUSTER, 9, 7), [entry("a", 3)])) == [Said]
+    assert kinds(watcher.listed(1.2, Header(CLUSTER, 9, 7), [entry("a", 3)])) == [LogMessage]
     assert after_delay(watcher) == [List(1 - first)]
-    assert kinds(watcher.listed(3.0, Header(CLUSTER, 8, 7), [entry("a", 3)])) == [Said]
+    assert kinds(watcher.listed(3.0, Header(CLUSTER, 8, 7), [entry("a", 3)])) == [LogMessage]
     assert after_delay(watcher) == [List(first)]
     actions = watcher.listed(5.0, Header(CLUSTER, 9, 7), [entry("a", 3)])
-    assert kinds(actions) == [Said, Whole, Watch]
+    assert kinds(actions) == [LogMessage, Snapshot, Watch]
     assert actions[2] == Watch(first, 8)
 
 
@@ -174,14 +174,14 @@
     after_delay(watcher)
     conflicting = watcher.endpoint
     watcher.created(1.1, Header(OTHER_CLUSTER, 9, 500))
-    assert kinds(watcher.listed(1.2, Header(OTHER_CLUSTER, 9, 500), [])) == [Said]
+    assert kinds(watcher.listed(1.2, Header(OTHER_CLUSTER, 9, 500), [])) == [LogMessage]
     assert after_delay(watcher) == [List(1 - conflicting)]
     actions = watcher.listed(3.0, Header(CLUSTER, 2, 120), [entry("a", 3)])
-    assert kinds(actions) == [Said, Whole, Watch]
+    assert kinds(actions) == [LogMessage, Snapshot, Watch]
     assert watcher.revision == 120
 
 
-def test_an_endpoint_of_another_cluster_is_accepted_only_after_the_doubt_time() -> None:
+def test_an_endpoint_of_another_cluster_is_accepted_only_after_the_conflict_timeout() -> None:
     watcher, now = watching(endpoints=2, revision=100), 1.0
     right, accepted_at = watcher.endpoint, 0.0
     while not accepted_at:
@@ -191,11 +191,11 @@
             if isinstance(action, List | Watch) and action.endpoint == right:
                 watcher.failed(now, "refused")
             elif isinstance(action, Watch):
-                assert kinds(watcher.created(now, Header(OTHER_CLUSTER, 9, 500))) == [Said, List]
+                assert kinds(watcher.created(now, Header(OTHER_CLUSTER, 9, 500))) == [LogMessage, List]
             if isinstance(action, List) and action.endpoint != right or watcher.phase is Phase.LISTING:
                 actions = watcher.listed(now, Header(OTHER_CLUSTER, 9, 500), [])
-                accepted_at = now if Whole in kinds(actions) else 0.0
-            elif isinstance(action, Ask):
+                accepted_at = now if Snapshot in kinds(actions) else 0.0
+            elif isinstance(action, RequestProgress):
                 watcher.failed(now, "reset")
     assert 30.0 <= accepted_at < 40.0
 
@@ -204,8 +204,8 @@
     watcher = watching()
     watcher.failed(1.0, "reset")
     after_delay(watcher)
-    assert kinds(watcher.created(1.1, Header(CLUSTER, 77, 10))) == [Said, List]
-    assert kinds(watcher.listed(1.2, Header(CLUSTER, 77, 10), [])) == [Whole, Watch]
+    assert kinds(watcher.created(1.1, Header(CLUSTER, 77, 10))) == [LogMessage, List]
+    assert kinds(watcher.listed(1.2, Header(CLUSTER, 77, 10), [])) == [Snapshot, Watch]
     assert watcher.created(1.3, Header(CLUSTER, 77, 10)) == [Alive()]
 
 
@@ -218,4 +218,4 @@
             if event == "progress"
             else watcher.changed(1.0, header, [put("a", 9)], False)
         )
-        assert kinds(actions) == [Said, List]
+        assert kinds(actions) == [LogMessage, List]
